--- a/packages/decisions/__tests__/baselines.test.ts
+++ b/packages/decisions/__tests__/baselines.test.ts
@@ -19,7 +19,7 @@
   }).map(({ id }) => id);
 }
 
-test('only the default asks for bids and reserves decode memory before the prefill', (t) => {
+test('only the default policy uses bids and reserves decode memory before the prefill', (t) => {
   t.deepEqual(planOf('default'), { workers: 'bids', reservesFirst: true });
   t.deepEqual(planOf('random'), { workers: 'random', reservesFirst: false });
   t.deepEqual(planOf('least-loaded'), { workers: 'last-hint', reservesFirst: true });
@@ -32,7 +32,7 @@
   t.deepEqual([...rank({ need: 'prefill' })].sort(), ['south-0', 'south-1']);
 });
 
-test('each worker comes first about as often in random rankings', (t) => {
+test('random rankings put each worker first about equally often', (t) => {
   const random = createSeededRandom(11);
   const firsts = Array.from({ length: 4_000 }, () => rank({ random })[0]);
   decodeWorkers.forEach(({ id }) => {
@@ -41,7 +41,7 @@
   });
 });
 
-test('the last report decides however old it is', (t) => {
+test('ranks by the last hint regardless of its age', (t) => {
   const hints = createLoadHints();
   const freeKvBytes = [10, 90, 40, 70];
   decodeWorkers.forEach(({ id }, index) =>
--- a/packages/decisions/__tests__/bidChoice.test.ts
+++ b/packages/decisions/__tests__/bidChoice.test.ts
@@ -25,7 +25,7 @@
   };
 }
 
-test('reserves where the slot is usable in time, and transfers a long prompt', (t) => {
+test('reserves where the slot is usable in time, with a transfer for a long prompt', (t) => {
   const choice = chooseBid(
     options([
       { instanceId: 'busy', bid: bid({ usableInMs: 500 }) },
@@ -49,27 +49,27 @@
   t.like(chooseBid(options([free], { prefillBids: [] })), { prefill: 'local' });
 });
 
-test('a slow link to the prefill worker counts', (t) => {
+test('takes the rate of the link to the prefill worker into account', (t) => {
   const linkRates = createLinkRates();
   linkRates.observe({ sourceId: 'prefill-1', targetId: 'far', bytes: 1e8, durationMs: 2_000 });
   const decodeBids = ['far', 'near'].map((instanceId) => ({ instanceId, bid: bid() }));
   t.like(chooseBid(options(decodeBids, { linkRates })), { instanceId: 'near' });
 });
 
-test('refusals say why and when to come back', (t) => {
+test('a refusal has a reason and a retry delay', (t) => {
   const leaving = { instanceId: 'a', bid: bid({}, { leaving: true }) };
-  const never = { instanceId: 'a', bid: bid({ usableInMs: undefined }) };
+  const unusable = { instanceId: 'a', bid: bid({ usableInMs: undefined }) };
   const late = { instanceId: 'a', bid: bid({ usableInMs: 4_000 }) };
   t.like(chooseBid(options([leaving])), { kind: 'refuse', reason: 'no-instances' });
-  t.like(chooseBid(options([never])), { kind: 'refuse', reason: 'no-capacity' });
+  t.like(chooseBid(options([unusable])), { kind: 'refuse', reason: 'no-capacity' });
   const refused = chooseBid(options([late]));
   t.like(refused, { kind: 'refuse', reason: 'deadline-hopeless' });
   t.true(refused.kind === 'refuse' && refused.retryAfterMs > 3_000);
 });
 
-// Each of these prompts waits for the link of its prefill worker, although the decode worker could have
-// computed it in a third of the time.
-test('a long prompt is computed where it decodes when its transfer would come later', (t) => {
+// Guards against transfers over a congested link: the prompt waits for the prefill worker's link, although
+// the decode worker could compute it in a third of the time.
+test('the decode worker prefills a long prompt if a transfer would take longer', (t) => {
   const computing = bid({ prefillWaitMs: 0, prefillMsPerToken: 0.1 });
   const congested = { instanceId: 'prefill-1', bid: bid({ exportMs: 700 }, { role: 'prefill' }) };
   const decodeBids = [{ instanceId: 'free', bid: computing }];
@@ -78,7 +78,7 @@
   t.like(choice, { instanceId: 'free', prefill: 'local' });
 });
 
-test('prompts that wait at the decode worker speak against one more there', (t) => {
+test('prefers a decode worker without queued prompts for a local prefill', (t) => {
   const busy = { instanceId: 'busy', bid: bid({ prefillWaitMs: 900, prefillMsPerToken: 0.1 }) };
   const idle = { instanceId: 'idle', bid: bid({ prefillWaitMs: 0, prefillMsPerToken: 0.1 }) };
   const congested = { instanceId: 'prefill-1', bid: bid({ exportMs: 700 }, { role: 'prefill' }) };
@@ -86,27 +86,27 @@
   t.like(choice, { instanceId: 'idle', prefill: 'local' });
 });
 
-// Under overload a worker that is full takes one of several usual requests in place of a long one: each
-// long one that is let in makes several others miss their first token.
-test('a long prompt is refused where usual ones wait for the same slot', (t) => {
+// Guards against lost goodput under overload: each long prompt that a full worker accepts makes several
+// typical requests miss their first-token target.
+test('a long prompt is refused if typical requests wait for the same slot', (t) => {
   const contended = { instanceId: 'full', bid: bid({ usableInMs: 150 }) };
   const free = { instanceId: 'free', bid: bid() };
   const long = { promptTokens: 3_000, prefillBids: [prefillBid] };
-  const usual = { promptTokens: 1_000, prefillBids: [prefillBid] };
-  t.like(chooseBid(options([contended], usual)), { kind: 'reserve' });
+  const typical = { promptTokens: 1_000, prefillBids: [prefillBid] };
+  t.like(chooseBid(options([contended], typical)), { kind: 'reserve' });
   t.like(chooseBid(options([contended], long)), { kind: 'refuse', reason: 'deadline-hopeless' });
   t.like(chooseBid(options([free], long)), { kind: 'reserve' });
 });
 
-// Streams beside a long prompt get their tokens late. A worker that computes many of them makes all of
-// its answers miss the time between tokens, although each prompt alone does no harm. It has to stop before
-// its slow steps reach the target of 28 ms: on their way to the caller tokens are delayed once more.
-test('a worker whose streams are slow computes no long prompts', (t) => {
-  const computing = { prefillWaitMs: 0, prefillMsPerToken: 0.1 };
+// A long prompt delays the tokens of the worker's running streams. Many of them make all its responses miss
+// the time between tokens, although a single one does not. The worker has to stop before its slow steps reach
+// the target of 28 ms, because the path to the caller adds to the delay.
+test('a decode worker with slow steps prefills no long prompts', (t) => {
+  const prefilling = { prefillWaitMs: 0, prefillMsPerToken: 0.1 };
   const congested = { instanceId: 'prefill-1', bid: bid({ exportMs: 350 }, { role: 'prefill' }) };
   const choose = (slowStepMs: number) =>
     chooseBid(
-      options([{ instanceId: 'a', bid: bid({ ...computing, slowStepMs }) }], {
+      options([{ instanceId: 'a', bid: bid({ ...prefilling, slowStepMs }) }], {
         prefillBids: [congested],
       }),
     );
@@ -114,9 +114,9 @@
   t.like(choose(25), { prefill: 'transfer' });
 });
 
-// Half of the memory in use is not idle: a prompt that comes too late anyway is computed beside streams
-// and makes them late as well.
-test('an answer that is late anyway is served only by servers with nothing else to do', (t) => {
+// A server with half of its memory in use is not idle: a request that is late in any case would make its
+// running streams late as well.
+test('a request that will miss its target is served only by idle servers', (t) => {
   const late = { promptTokens: 16_000, prefillBids: [] };
   const idle = { instanceId: 'a', bid: bid({ prefillWaitMs: 0 }, { freeKvBytes: 60 }) };
   const used = { instanceId: 'a', bid: bid({ prefillWaitMs: 0 }, { freeKvBytes: 40 }) };
--- a/packages/decisions/__tests__/candidates.test.ts
+++ b/packages/decisions/__tests__/candidates.test.ts
@@ -14,7 +14,7 @@
   };
 }
 
-test('candidates are distinct, live, fit the need and are not excluded', (t) => {
+test('candidates are distinct, live, serve the need and are not excluded', (t) => {
   const instance = fc.record({
     dataCentre: fc.constantFrom('north', 'south'),
     role: fc.constantFrom('prefill', 'decode', 'both', 'plain'),
@@ -27,22 +27,22 @@
       const excluded = new Set(excludedIndexes.map((index) => `i-${index}`));
       const query = { instances: all, need: 'decode' as const, key: 'k', excluded, nowMs: 0 };
       const chosen = selectCandidates({ ...selectorOptions(seed), ...query });
-      const able = all.filter(
+      const eligible = all.filter(
         ({ id, role, state }) =>
           state === 'live' && ['decode', 'both'].includes(role) && !excluded.has(id),
       );
       const ids = chosen.map(({ instanceId }) => instanceId);
       t.is(new Set(ids).size, ids.length);
-      t.true(ids.every((id) => able.some((item) => item.id === id)));
-      const local = able.filter(({ dataCentre }) => dataCentre === 'north');
-      const expected = { 0: able.length, 1: Math.min(2, able.length) }[local.length];
+      t.true(ids.every((id) => eligible.some((item) => item.id === id)));
+      const local = eligible.filter(({ dataCentre }) => dataCentre === 'north');
+      const expected = { 0: eligible.length, 1: Math.min(2, eligible.length) }[local.length];
       t.is(chosen.length, Math.min(3, expected ?? local.length));
     }),
     fixedSeed,
   );
 });
 
-test('a lone local worker is asked together with a remote one, a plain server alone', (t) => {
+test('a single local worker is asked together with a remote one, a plain server alone', (t) => {
   const fleet = [
     { id: 'local', dataCentre: 'north', state: 'live' as const },
     { id: 'remote-1', dataCentre: 'south', state: 'live' as const },
@@ -69,7 +69,7 @@
   t.is(new Set(homes.map((home) => home?.instanceId)).size, 1);
 });
 
-test('an overloaded home hands its prefixes to the next in its order', (t) => {
+test('an overloaded home is replaced by the next worker in the rendezvous order', (t) => {
   const options = selectorOptions();
   const selector = createCandidateSelector(options);
   const query = {
@@ -88,7 +88,7 @@
   t.is(next?.reason, 'prefix-home');
 });
 
-test('picks the less loaded of two: a full worker gets fewer picks than an empty one', (t) => {
+test('picks the less loaded of two: a full worker is picked less often than an empty one', (t) => {
   const options = selectorOptions(5);
   const fleet = instances(4);
   fleet.forEach(({ id }, index) =>
@@ -98,14 +98,13 @@
   const query = { instances: fleet, membershipVersion: 1, need: 'decode' as const, nowMs: 0 };
   const picks = Array.from({ length: 400 }, () => selector.select(query)[0]?.instanceId);
   const full = picks.filter((id) => id === 'north-0').length;
-  // Uniform choice would give 100; two choices give 400 / 16.
+  // A uniform choice would give 100, the power of two choices gives 400 / 16.
   t.true(full > 5 && full < 50, `${full}`);
 });
 
-// The caller waits in a queue although another data centre is idle.
-// The local workers answered lately that new work waits for 300 ms, and nobody asks the remote ones.
-// A remote candidate must join as soon as no local candidate can serve without such a wait.
-test('remote workers join where the local ones are saturated, and only then', (t) => {
+// Guards against callers that wait in a queue although another data centre is idle: the local workers have
+// reported a wait of 300 ms, so a remote candidate must be asked too.
+test('remote workers are added only while the local ones are saturated', (t) => {
   const options = selectorOptions();
   const fleet = [...instances(3), ...instances(3, { dataCentre: 'south' })];
   const selector = createCandidateSelector(options);
@@ -117,10 +116,9 @@
   t.true(selector.select({ ...query, nowMs: 5_000 }).every(({ reason }) => reason === 'low-load'));
 });
 
-// A request reaches a server that is leaving, although the server has said so.
-// The instance list lags by ten seconds and still shows it as live.
-// The server's own answer is newer than the list, and keeps it out of the candidates.
-test('a server that said it leaves is no candidate while the list still shows it', (t) => {
+// Guards against requests to a server that is leaving: the instance list lags by ten seconds and still shows
+// it as live, but the server's own hint is newer.
+test('a server that reported that it is leaving is no candidate, even if still listed as live', (t) => {
   const options = selectorOptions();
   const fleet = instances(2);
   options.hints.record('north-0', loadHint({ leaving: true }), 0);
@@ -132,7 +130,7 @@
   );
 });
 
-test('a role that the server reported replaces the one in the list', (t) => {
+test('a role reported by the server overrides the one in the instance list', (t) => {
   const options = selectorOptions();
   const selector = createCandidateSelector(options);
   const query = { instances: instances(2), membershipVersion: 1, nowMs: 0 };
@@ -141,7 +139,7 @@
   t.is(selector.select({ ...query, need: 'prefill' })[0]?.instanceId, 'north-0');
 });
 
-test('entries spread over the workers: no worker is in most subsets', (t) => {
+test('entry processes spread over the workers: no worker is in most subsets', (t) => {
   const fleet = instances(100);
   const chosen = Array.from({ length: 300 }, (_, index) => {
     const options = { ...selectorOptions(index), entryId: `entry-${index}`, subsetSize: 8 };
@@ -154,7 +152,7 @@
   t.true(counts.filter((count) => count === 0).length < 5);
 });
 
-test('the key covers the first blocks only', (t) => {
+test('the prefix key depends only on the first blocks', (t) => {
   t.is(prefixKey('s', []), undefined);
   t.is(prefixKey('s', ['a', 'b', 'c', 'd', 'e']), prefixKey('s', ['a', 'b', 'c', 'd', 'f']));
   t.not(prefixKey('s', ['a']), prefixKey('other', ['a']));
--- a/packages/decisions/__tests__/expectedValue.test.ts
+++ b/packages/decisions/__tests__/expectedValue.test.ts
@@ -6,7 +6,7 @@
   probabilityWithin,
   usableSlackMs,
 } from '../src/expectedValue';
-import { fixedSeed, prefillDecision } from './helpers/fixtures';
+import { decisionOptions, fixedSeed } from './helpers/fixtures';
 
 const durationMs = fc.integer({ min: 0, max: 800 });
 const prediction = fc.record({
@@ -22,27 +22,29 @@
   wastedPrefill: fc.double({ min: 0, max: 10, noNaN: true }),
 });
 
-test('a prefill starts exactly where its expected value is positive', (t) => {
+test('a prefill starts if and only if its expected value is positive', (t) => {
   fc.assert(
-    fc.property(prediction, weights, (predicted, weighed) => {
-      const options = prefillDecision(predicted, { weights: weighed });
+    fc.property(prediction, weights, (predicted, givenWeights) => {
+      const options = decisionOptions(predicted, { weights: givenWeights });
       const { probability: p, value } = expectOutcome(options);
-      t.true(Math.abs(value - (weighed.goodput * p - weighed.wastedPrefill * (1 - p))) < 1e-9);
+      t.true(
+        Math.abs(value - (givenWeights.goodput * p - givenWeights.wastedPrefill * (1 - p))) < 1e-9,
+      );
       t.is(decidePrefill(options).kind === 'start', value > 0);
     }),
     fixedSeed,
   );
 });
 
-test('a later slot never raises the probability, and the slack is where the value becomes 0', (t) => {
+test('a later slot never raises the probability, and the value is 0 at the latest useful slot', (t) => {
   fc.assert(
     fc.property(prediction, durationMs, (predicted, laterByMs) => {
-      const options = prefillDecision(predicted);
-      const later = prefillDecision({ ...predicted, usableInMs: predicted.usableInMs + laterByMs });
+      const options = decisionOptions(predicted);
+      const later = decisionOptions({ ...predicted, usableInMs: predicted.usableInMs + laterByMs });
       t.true(expectOutcome(later).probability <= expectOutcome(options).probability);
       const slackMs = usableSlackMs(options);
       if (slackMs >= 0) {
-        const atSlack = expectOutcome(prefillDecision({ ...predicted, usableInMs: slackMs }));
+        const atSlack = expectOutcome(decisionOptions({ ...predicted, usableInMs: slackMs }));
         t.true(
           Math.abs(atSlack.value) < 1e-6 ||
             slackMs <= predicted.prefillMs + predicted.prefillWaitMs,
@@ -54,20 +56,19 @@
   );
 });
 
-test('the service that weighs waste more declines what the other starts', (t) => {
-  const doubtful = { usableInMs: 560 };
-  const goodputFirst = prefillDecision(doubtful);
-  const wasteFirst = prefillDecision(doubtful, { weights: { goodput: 0.5, wastedPrefill: 2 } });
+test('a higher weight on wasted prefill declines what a lower one starts', (t) => {
+  const borderline = { usableInMs: 560 };
+  const goodputFirst = decisionOptions(borderline);
+  const wasteFirst = decisionOptions(borderline, { weights: { goodput: 0.5, wastedPrefill: 2 } });
   t.is(decidePrefill(goodputFirst).kind, 'start');
   t.not(decidePrefill(wasteFirst).kind, 'start');
 });
 
-// The caller pays for a prefill twice, or waits for a transfer of a result that is gone.
-// The prefill ends long before the decode slot is usable, and the engine keeps its result for less
-// than a second. So the prefill starts late enough to end shortly before the slot is there.
+// Guards against prefill results that expire: an engine keeps a result for less than a second, so a prefill
+// that ends long before the decode slot is usable would have to be computed again.
 test('a prefill does not start long before its slot is usable', (t) => {
   const decision = decidePrefill(
-    prefillDecision(
+    decisionOptions(
       { usableInMs: 5_000 },
       { targets: { firstTokenMs: 9_000, betweenTokensMs: 28 } },
     ),
@@ -75,14 +76,14 @@
   t.true(decision.kind === 'start' && decision.startInMs === 4_780);
 });
 
-test('a hopeless request is refused at once, with the time after which it is not', (t) => {
-  const decision = decidePrefill(prefillDecision({ usableInMs: 3_000 }));
+test('a request that cannot meet its target is refused at once, with a retry delay', (t) => {
+  const decision = decidePrefill(decisionOptions({ usableInMs: 3_000 }));
   t.is(decision.kind, 'refuse');
   t.true(decision.kind === 'refuse' && decision.retryAfterMs > 2_000);
 });
 
-test('a request that only just fails waits, but not beyond the point of no return', (t) => {
-  const options = prefillDecision(
+test('a request that narrowly misses waits, but only while it can still succeed', (t) => {
+  const options = decisionOptions(
     { usableInMs: 590 },
     { weights: { goodput: 1, wastedPrefill: 1 } },
   );
@@ -90,10 +91,10 @@
   t.true(decision.kind === 'wait' && decision.limitMs > 0 && decision.limitMs < 590);
 });
 
-test('a prompt too long for its target is served late where the servers are idle', (t) => {
+test('a prompt too long for its target is served late if the servers are idle', (t) => {
   const tooLong = { prefillMs: 2_000 };
-  t.is(decidePrefill(prefillDecision(tooLong)).kind, 'refuse');
-  const decision = decidePrefill(prefillDecision(tooLong, { serversIdle: true }));
+  t.is(decidePrefill(decisionOptions(tooLong)).kind, 'refuse');
+  const decision = decidePrefill(decisionOptions(tooLong, { serversIdle: true }));
   t.true(decision.kind === 'start' && decision.late);
 });
 
--- a/packages/decisions/__tests__/helpers/fixtures.ts
+++ b/packages/decisions/__tests__/helpers/fixtures.ts
@@ -1,4 +1,4 @@
-/** Values that the tests of several decisions share. */
+/** Values shared by the tests of this package. */
 import type { Bid, LoadHint } from '@bluebellhitch/protocol';
 import type { CandidateInstance, PhasePrediction, PrefillDecisionOptions } from '../../src';
 
@@ -41,7 +41,7 @@
   }));
 }
 
-export function prefillDecision(
+export function decisionOptions(
   prediction: Partial<PhasePrediction> = {},
   overrides: Partial<PrefillDecisionOptions> = {},
 ): PrefillDecisionOptions {
--- a/packages/decisions/__tests__/lengthPredictor.test.ts
+++ b/packages/decisions/__tests__/lengthPredictor.test.ts
@@ -5,7 +5,7 @@
 
 const key = { service: 'draft-models', className: 'standard', promptTokens: 1_000 };
 
-test('predicts the limit until it has learned, then the median of similar requests', (t) => {
+test('predicts the limit until it has enough samples, then the median of similar requests', (t) => {
   const predictor = createLengthPredictor();
   t.is(predictor.predict({ ...key, maxOutputTokens: 500 }), 500);
   Array.from({ length: 21 }, (_, index) => predictor.observe(key, 100 + index));
@@ -13,7 +13,7 @@
   t.is(predictor.predict({ ...key, promptTokens: 40, maxOutputTokens: 500 }), 110);
 });
 
-test('a stream that has come far is expected to end like the longer ones', (t) => {
+test('predicts a long stream from the samples that are longer still', (t) => {
   const predictor = createLengthPredictor();
   Array.from({ length: 20 }, (_, index) => predictor.observe(key, index < 15 ? 50 : 400));
   const remaining = (emittedTokens: number) =>
--- a/packages/decisions/__tests__/linkRate.test.ts
+++ b/packages/decisions/__tests__/linkRate.test.ts
@@ -3,7 +3,7 @@
 
 const finished = { sourceId: 'a', targetId: 'b', bytes: 1e8, durationMs: 100 };
 
-test('learns the rate of a link, and expects the average of a link it has not used', (t) => {
+test('learns the rate of a link, and expects the average for an unused link', (t) => {
   const rates = createLinkRates({ initialRateBytesPerSecond: 2e9 });
   t.is(rates.transferMs('a', 'b', 1e9), 500);
   Array.from({ length: 60 }, () => rates.observe(finished));
@@ -11,7 +11,7 @@
   t.true(Math.abs(rates.rateBytesPerSecond('c', 'd') - 1.5e9) < 1e7);
 });
 
-test('a stall makes the link slower, and no other link that is known', (t) => {
+test('a stall lowers the rate of its link, but not of other known links', (t) => {
   const rates = createLinkRates();
   rates.observe({ ...finished, sourceId: 'c', targetId: 'd' });
   Array.from({ length: 20 }, () => rates.observe(finished));
@@ -22,7 +22,7 @@
   t.is(rates.rateBytesPerSecond('c', 'd'), other);
 });
 
-test('small transfers do not count, and links are bounded', (t) => {
+test('ignores small transfers, and bounds the number of links', (t) => {
   const rates = createLinkRates({ maxLinks: 3 });
   rates.observe({ ...finished, bytes: 10 });
   t.is(rates.size(), 0);
--- a/packages/decisions/__tests__/loadHints.test.ts
+++ b/packages/decisions/__tests__/loadHints.test.ts
@@ -2,18 +2,18 @@
 import { createLoadHints, loadPressure } from '../src/loadHints';
 import { loadHint } from './helpers/fixtures';
 
-test('an old hint is worth less: its pressure approaches the average', (t) => {
+test('the estimated pressure approaches the average as a hint ages', (t) => {
   const hints = createLoadHints({ halfLifeMs: 500 });
   hints.record('full', loadHint({ freeKvBytes: 0 }), 0);
   hints.record('empty', loadHint({ freeKvBytes: 100 }), 0);
   const gapAt = (nowMs: number) =>
-    hints.outlook('full', nowMs).pressure - hints.outlook('empty', nowMs).pressure;
+    hints.estimateLoad('full', nowMs).pressure - hints.estimateLoad('empty', nowMs).pressure;
   t.is(gapAt(0), 1);
   t.is(gapAt(500), 0.5);
   t.true(gapAt(10_000) < 0.001);
 });
 
-test('a hint that arrives late does not replace a newer one', (t) => {
+test('a delayed hint does not replace a newer one', (t) => {
   const hints = createLoadHints();
   hints.record('a', loadHint({ queuedCount: 7 }), 100);
   hints.record('a', loadHint({ queuedCount: 0 }), 50);
--- a/packages/decisions/__tests__/memoryForecast.test.ts
+++ b/packages/decisions/__tests__/memoryForecast.test.ts
@@ -2,17 +2,17 @@
 import { createMemoryForecast, survival } from '@bluebellhitch/decisions';
 import type { StreamOutlook } from '@bluebellhitch/protocol';
 
-const stream = (over: Partial<StreamOutlook> = {}): StreamOutlook => ({
+const stream = (overrides: Partial<StreamOutlook> = {}): StreamOutlook => ({
   promptTokens: 5_000,
   emittedTokens: 0,
   medianOutputTokens: 4_000,
-  ...over,
+  ...overrides,
 });
 
 const forecastOf = (streams: StreamOutlook[], caution = 0) =>
   createMemoryForecast({ streams, capacityTokens: 100_000, lengthShape: 5, caution });
 
-test('an engine without streams is free but for what is not explained', (t) => {
+test('an engine without streams is free except for unaccounted tokens', (t) => {
   const forecast = createMemoryForecast({
     streams: [],
     otherTokens: 3_000,
@@ -23,16 +23,16 @@
   t.is(forecast.freeTokens(), 7_000);
 });
 
-test('streams that began together need more than those spread over their lives', (t) => {
-  // Ten streams that begin hold 50,000 tokens and will hold a third more before the first of them end. Ten at all
-  // stages end and free their memory one after the other: they never hold more than now.
+test('streams that began together need more than streams at different stages', (t) => {
+  // Ten new streams hold 50,000 tokens, and will hold a third more before the first of them end. Ten streams at
+  // different stages end one after the other, so they never hold more than now.
   const together = Array.from({ length: 10 }, () => stream());
   const spread = together.map((one, index) => ({ ...one, emittedTokens: index * 400 }));
   t.true(forecastOf(together).freeTokens() < 35_000);
   t.is(forecastOf(spread).freeTokens(), 32_000);
 });
 
-test('what one more stream needs is taken off, and stays off once it is added', (t) => {
+test('one more stream lowers the forecast by the same amount when asked about and when added', (t) => {
   const forecast = forecastOf([stream()]);
   const expected = forecast.freeTokensWith(stream());
   t.true(expected < forecast.freeTokens() - 5_000);
@@ -40,7 +40,7 @@
   t.is(forecast.freeTokens(), expected);
 });
 
-test('caution keeps more free, and the more so the less is known of the lengths', (t) => {
+test('the margin keeps more memory free, and more so the wider the lengths scatter', (t) => {
   const streams = Array.from({ length: 6 }, () => stream());
   const free = (lengthShape: number, caution: number) =>
     createMemoryForecast({ streams, capacityTokens: 100_000, lengthShape, caution }).freeTokens();
@@ -48,12 +48,12 @@
   t.true(free(5, 0) - free(5, 2) < free(2, 0) - free(2, 2));
 });
 
-test('streams without any output to come are counted as they are', (t) => {
+test('streams without expected output count with their current memory', (t) => {
   const still = stream({ medianOutputTokens: 0 });
   t.is(forecastOf([still, still], 2).freeTokens(), 90_000);
 });
 
-test('half of the streams outlive their median; one that has outlived it is likely to go on', (t) => {
+test('half of the streams exceed their median; one that has exceeded it is likely to continue', (t) => {
   t.is(survival(stream(), 0, 5), 1);
   t.is(survival(stream(), 4_000, 5), 0.5);
   t.true(survival(stream({ emittedTokens: 8_000 }), 1_000, 5) > 0.5);
--- a/packages/decisions/__tests__/outputLengths.test.ts
+++ b/packages/decisions/__tests__/outputLengths.test.ts
@@ -5,16 +5,16 @@
 const random = createSeededRandom(7);
 const normal = () => Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
 
-test('a few answers say nothing yet', (t) => {
+test('has no estimate after a few responses', (t) => {
   const lengths = createOutputLengths();
   Array.from({ length: 7 }, () => lengths.observe('a', 400, 10));
   t.is(lengths.estimate('a', 400), undefined);
   t.is(lengths.estimate('b', 400), undefined);
 });
 
-test('the estimate lies between what a hint says and what is usual', (t) => {
-  // Answers scatter by half around 50 events, hints by half around the answer: what a hint is above the usual is
-  // half chance.
+test('the estimate lies between the hint and the typical length', (t) => {
+  // Lengths scatter around 50 events, and hints around the actual length, both with a deviation of 0.5 in the
+  // logarithm: half of a hint's distance from the typical length is chance.
   const lengths = createOutputLengths();
   Array.from({ length: 400 }, () => {
     const events = 50 * Math.exp(0.5 * normal());
@@ -27,7 +27,7 @@
   t.true(Math.abs((usual?.deviation ?? 0) - 0.35) < 0.08);
 });
 
-test('answers without hints are a class of their own', (t) => {
+test('responses without hints form a separate class', (t) => {
   const lengths = createOutputLengths();
   Array.from({ length: 20 }, (_none, index) => lengths.observe('a', undefined, 30 + (index % 3)));
   const estimate = lengths.estimate('a', undefined);
@@ -35,7 +35,7 @@
   t.is(lengths.estimate('a', 100), undefined);
 });
 
-test('what changes is followed', (t) => {
+test('follows a change in lengths', (t) => {
   const lengths = createOutputLengths();
   Array.from({ length: 300 }, () => lengths.observe('a', undefined, 20));
   Array.from({ length: 600 }, () => lengths.observe('a', undefined, 80));
--- a/packages/decisions/__tests__/phaseModel.test.ts
+++ b/packages/decisions/__tests__/phaseModel.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { createPhaseModels, initialPhaseModel } from '../src/phaseModel';
 
-test('starts from the assumption and learns each service for itself', (t) => {
+test('starts from the initial model and learns each service separately', (t) => {
   const models = createPhaseModels();
   const observation = {
     place: 'prefill-worker',
--- a/packages/decisions/__tests__/placementAdmission.test.ts
+++ b/packages/decisions/__tests__/placementAdmission.test.ts
@@ -7,20 +7,20 @@
   return admission;
 };
 
-test('without places lately nothing is known, and a request waits while it can be on time', (t) => {
+test('without recent placements a request waits while it can be on time', (t) => {
   const admission = admissionWith([0, 10]);
   t.is(admission.decide({ slackMs: 500, aheadCount: 40 }, 100).kind, 'wait');
   t.is(admission.decide({ slackMs: 0, aheadCount: 0 }, 100).kind, 'refuse');
 });
 
-test('a request waits for what the line will have reached, with doubt, and no longer', (t) => {
-  // Ten places in a second and a half: the line moves by one in 150 ms.
+test('a request waits only if the queue is expected to reach it within a multiple of its slack', (t) => {
+  // Ten placements in 1.5 s: the queue advances by one every 150 ms.
   const admission = admissionWith(Array.from({ length: 10 }, (_none, index) => index * 150));
   t.is(admission.decide({ slackMs: 600, aheadCount: 10 }, 1_400).kind, 'wait');
   t.is(admission.decide({ slackMs: 600, aheadCount: 12 }, 1_400).kind, 'refuse');
 });
 
-test('callers come back when the line has moved on, spread, and within seconds', (t) => {
+test('callers retry when the queue has advanced, with jitter and within bounds', (t) => {
   const placed = Array.from({ length: 10 }, (_none, index) => index * 150);
   const at = (random: number, aheadCount: number, holdMs = 0) =>
     admissionWith(placed, () => random).retryAfterMs({ aheadCount, holdMs }, 1_400);
@@ -30,13 +30,13 @@
   t.true(at(0.99, 500) <= 15_000);
 });
 
-test('callers come back no sooner than the streams that hold the memory have ended', (t) => {
-  // A caller would come back into the same burst and be refused again: what comes free meanwhile goes to newcomers.
+test('callers retry no sooner than the streams that hold the memory have ended', (t) => {
+  // A caller that retries during the same burst is refused again: new requests take the memory that is released.
   const admission = admissionWith([], () => 0);
   t.true(admission.retryAfterMs({ aheadCount: 0, holdMs: 4_000 }, 0) >= 3_000);
 });
 
-test('old places are forgotten', (t) => {
+test('placements expire after the window', (t) => {
   const admission = admissionWith([0, 1, 2, 3, 4, 5]);
   t.is(admission.decide({ slackMs: 100, aheadCount: 10 }, 100).kind, 'refuse');
   t.is(admission.decide({ slackMs: 100, aheadCount: 10 }, 2_000).kind, 'wait');
--- a/packages/decisions/__tests__/prefillBacklog.test.ts
+++ b/packages/decisions/__tests__/prefillBacklog.test.ts
@@ -1,22 +1,22 @@
 import test from 'ava';
 import { createPrefillBacklog } from '../src';
 
-test('an idle engine makes nobody wait', (t) => {
+test('an idle engine has no wait', (t) => {
   const backlog = createPrefillBacklog();
   t.is(backlog.waitMs(0), 0);
   t.is(backlog.msPerToken(), 0.1);
 });
 
-test('a prompt waits for all before it, less what has passed of the first one', (t) => {
+test('a prompt waits for all before it, less the time already spent on the first one', (t) => {
   const backlog = createPrefillBacklog({ initialMsPerToken: 0.1 });
   backlog.begin('a', 1_000, 0);
   backlog.begin('b', 2_000, 10);
   t.is(backlog.waitMs(10), 290);
   t.is(backlog.waitMs(60), 240);
-  t.is(backlog.waitMs(900), 200, 'the first one is late, and may end at any moment');
+  t.is(backlog.waitMs(900), 200, 'the first one is overdue and may end at any moment');
 });
 
-test('the time per token is learned from prompts with those ahead of them', (t) => {
+test('the time per token is learned from a prompt together with those ahead of it', (t) => {
   const backlog = createPrefillBacklog();
   backlog.begin('a', 1_000, 0);
   backlog.begin('b', 1_000, 0);
@@ -26,7 +26,7 @@
   t.is(backlog.waitMs(100), 0);
 });
 
-test('short prompts teach nothing, and those that were dropped keep nobody waiting', (t) => {
+test('ignores the duration of short prompts, and the tokens of dropped prompts', (t) => {
   const backlog = createPrefillBacklog();
   backlog.begin('short', 20, 0);
   backlog.finish('short', 60);
--- a/packages/decisions/src/baselines.ts
+++ b/packages/decisions/src/baselines.ts
@@ -1,6 +1,6 @@
 /**
- * Placement policies. All but `default` exist only to be measured against: routers that serve without
- * bids, or that start a prefill before decode memory is reserved. Nothing else depends on them.
+ * Placement policies. All but `default` are baselines for benchmarks: they place requests without
+ * bids, or start a prefill before decode memory is reserved. Nothing else depends on them.
  */
 import { assertNever, type Random } from '@bluebellhitch/shared';
 import type { ReserveExpectation } from './bidChoice';
@@ -10,18 +10,18 @@
 import { roleServes, type CandidateInstance, type WorkerNeed } from './workerPools';
 
 export const placementPolicies = {
-  /** Bids, decode memory first, then the prefill. */
+  /** Workers by bids; decode memory is reserved before the prefill starts. */
   default: 'default',
-  /** Any prefill worker, then any decode worker; decode memory is reserved once the prefill is done. */
+  /** Random prefill and decode workers; decode memory is reserved once the prefill is done. */
   random: 'random',
-  /** The workers that reported the least load last; decode memory first, as in `default`. */
+  /** Workers whose last load hint is the lowest; decode memory is reserved first, as in `default`. */
   leastLoaded: 'least-loaded',
-  /** Bids as in `default`, but decode memory is reserved once the prefill is done. */
+  /** Workers by bids as in `default`, but decode memory is reserved once the prefill is done. */
   prefillFirst: 'prefill-first',
 } as const;
 export type PlacementPolicy = (typeof placementPolicies)[keyof typeof placementPolicies];
 
-/** How a policy finds workers, and in which order it uses them. */
+/** How a policy selects workers, and in which order it uses them. */
 export interface PolicyPlan {
   workers: 'bids' | 'random' | 'last-hint';
   /** Whether decode memory is reserved before the prefill starts. */
@@ -53,14 +53,14 @@
   nowMs: number;
 }
 
-/** All workers that serve the need, the one to use first in front. */
+/** All workers that serve the need, in order of preference. */
 export function rankWorkers(options: RankOptions): CandidateInstance[] {
   const { by, instances, need, hints, excluded, random, nowMs } = options;
-  const serving = instances.filter(
+  const eligible = instances.filter(
     ({ id, role, state }) =>
       state === 'live' && !excluded.has(id) && roleServes(hints.role(id) ?? role, need),
   );
-  const shuffled = shuffle(serving, random);
+  const shuffled = shuffle(eligible, random);
   switch (by) {
     case 'random':
       return shuffled;
@@ -73,20 +73,20 @@
 
 export interface UnjudgedOptions {
   promptTokens: number;
-  /** Time that is left until the first token is late. */
+  /** Time left until the first-token target. */
   remainingMs: number;
   model: PhaseModel;
   linkRates: LinkRates;
   decodeId: string;
-  /** Absent: the decode worker prefills itself. */
+  /** Absent where the decode worker prefills. */
   prefillId?: string;
 }
 
-/** What a policy that does not judge its choices expects: usual durations and no waiting. */
+/** Expected outcome for policies that do not use bids: average durations without waiting. */
 export function expectUnjudged(options: UnjudgedOptions): ReserveExpectation {
   const { promptTokens, remainingMs, model, linkRates, decodeId, prefillId } = options;
-  const place = prefillId === undefined ? 'decode-worker' : 'prefill-worker';
-  const prefillMs = promptTokens * model.prefillMsPerToken[place];
+  const location = prefillId === undefined ? 'decode-worker' : 'prefill-worker';
+  const prefillMs = promptTokens * model.prefillMsPerToken[location];
   const kvBytes = promptTokens * model.kvBytesPerToken;
   const transferMs =
     prefillId === undefined ? 0 : linkRates.transferMs(prefillId, decodeId, kvBytes);
@@ -110,7 +110,7 @@
   };
 }
 
-/** The report itself, however old; a worker that never reported counts as idle. */
+/** Pressure by the last hint regardless of its age; a worker that never sent one counts as idle. */
 function lastPressure(hints: RankOptions['hints'], id: string, nowMs: number): number {
   const aged = hints.get(id, nowMs);
   return aged === undefined ? 0 : loadPressure(aged.hint);
--- a/packages/decisions/src/bidChoice.ts
+++ b/packages/decisions/src/bidChoice.ts
@@ -1,8 +1,8 @@
 /**
- * Chooses among the bids of a model request's candidates: which decode worker reserves memory, and
- * whether the prompt is prefilled there or on a prefill worker with a transfer. Short prompts and
- * prompts mostly cached at the decode worker are prefilled there. The way with the highest expected
- * value wins, see `expectedValue`.
+ * Chooses among the bids that a model request's candidates have sent: which decode worker reserves
+ * memory, and whether the prompt is prefilled there or on a prefill worker, followed by a KV cache
+ * transfer. Short prompts and prompts mostly cached at the decode worker are prefilled there. The
+ * plan with the highest expected value is chosen, see `expectedValue`.
  */
 import type { Bid } from '@bluebellhitch/protocol';
 import {
@@ -17,17 +17,17 @@
 import type { LinkRates } from './linkRate';
 import type { PhaseModel } from './phaseModel';
 
-/** A candidate's answer. */
+/** A candidate's bid. */
 export interface CandidateBid {
   instanceId: string;
   bid: Bid;
-  /** Measured round trip from this entry; it comes on top of every prediction. */
+  /** Measured round trip from this entry process; added to every prediction. */
   roundTripMs?: number;
 }
 
 export interface BidChoiceOptions {
   decodeBids: readonly CandidateBid[];
-  /** Empty where the service has no prefill workers: prompts are then prefilled where they decode. */
+  /** Empty where the service has no prefill workers: the decode workers then prefill all prompts. */
   prefillBids?: readonly CandidateBid[];
   promptTokens: number;
   targets: LatencyTargets;
@@ -37,7 +37,7 @@
   elapsedMs?: number;
   /** Prompts with at most this many uncached tokens are prefilled at the decode worker. */
   localPrefillTokens?: number;
-  /** So are prompts of which at least this share is cached there. */
+  /** Prompts of which at least this share is cached at the decode worker are prefilled there too. */
   localPrefillCachedShare?: number;
 }
 
@@ -50,7 +50,7 @@
   waitLimitMs: number;
   /** Tokens that the prefill would compute. */
   uncachedTokens: number;
-  /** Below the target by expectation; served because the servers are idle. */
+  /** Expected to miss its targets; served nevertheless because the servers are idle. */
   late: boolean;
   prediction: PhasePrediction;
 }
@@ -73,66 +73,78 @@
     }
   | { kind: 'refuse'; reason: BidRefusalReason; retryAfterMs: number };
 
-interface ServingWay {
+/** One way to serve the request. */
+interface ServingPlan {
   decode: CandidateBid;
-  /** Absent: prefill at the decode worker. */
+  /** Absent where the decode worker prefills. */
   prefill?: CandidateBid;
   uncachedTokens: number;
   prediction: PhasePrediction;
-  /** Goodput that streams of the decode worker lose by a long prompt beside them. */
-  strain?: number;
+  /** Goodput that the decode worker's running streams lose when it prefills a long prompt. */
+  interferenceCost?: number;
 }
 
-interface JudgedWay {
-  way: ServingWay;
+interface EvaluatedPlan {
+  plan: ServingPlan;
   decision: PrefillDecision;
   waitLimitMs: number;
 }
 
-/** Part of the first-token target from which a wait for the slot counts as full contention. */
-const contendedShare = 0.2;
-const usualProbability = 0.8;
-/** Without it, idle fleets would compute long prompts beside streams rather than transfer them. */
-const longPromptStrain = 0.02;
-const largestSize = 3;
+/** Share of the first-token target from which a wait for the slot counts as full contention. */
+const fullContentionShare = 0.2;
+/** Assumed probability that a typical request meets its targets. */
+const typicalProbability = 0.8;
+/** Without it, idle fleets would prefill long prompts on decode workers that run streams instead of transferring. */
+const longPromptInterferenceCost = 0.02;
+/** Upper bound of a prompt's size relative to the average prefill. */
+const maxRelativeSize = 3;
 /**
- * Share of the target between tokens up to which a worker's slow steps leave room for a long prompt. The bid
- * tells of all its streams together and as the agent sees them: held against the whole target, it lets many
- * answers miss it, by what the way to the caller adds and by prompts that fall on few of them.
+ * Share of the time-between-tokens target up to which a worker's slow steps leave room for a long prompt.
+ * The bid reports one figure for all streams, measured at the agent. Compared with the full target it would
+ * let many responses miss it: the path to the caller adds latency, and some streams are delayed by more
+ * prefills than others.
  */
 const slowStepShare = 0.85;
-const emptyPoolRetryMs = 1_000;
+const noInstancesRetryMs = 1_000;
 const noCapacityRetryMs = 500;
-/** Free share of the memory from which a server without a queue counts as idle. */
+/** Free share of memory from which a server without a queue counts as idle. */
 const idleFreeShare = 0.5;
 
 export function chooseBid(options: BidChoiceOptions): BidChoice {
-  const present = options.decodeBids.filter(({ bid }) => !bid.load.leaving);
-  if (present.length === 0) {
-    return { kind: 'refuse', reason: 'no-instances', retryAfterMs: emptyPoolRetryMs };
+  const available = options.decodeBids.filter(({ bid }) => !bid.load.leaving);
+  if (available.length === 0) {
+    return { kind: 'refuse', reason: 'no-instances', retryAfterMs: noInstancesRetryMs };
   }
-  const usable = present.filter(({ bid }) => bid.usableInMs !== undefined);
-  const judged = usable
-    .flatMap((decode) => waysOf(decode, options))
-    .map((way) => judge(way, options));
-  const [best] = judged.filter(({ decision }) => decision.kind !== 'refuse').sort(byPreference);
-  return best === undefined ? refuse(judged) : reserve(best);
+  const usable = available.filter(({ bid }) => bid.usableInMs !== undefined);
+  const evaluated = usable
+    .flatMap((decode) => plansFor(decode, options))
+    .map((plan) => evaluate(plan, options));
+  const [best] = evaluated.filter(({ decision }) => decision.kind !== 'refuse').sort(comparePlans);
+  return best === undefined ? refuse(evaluated) : reserve(best);
 }
 
-function waysOf(decode: CandidateBid, options: BidChoiceOptions): ServingWay[] {
+function plansFor(decode: CandidateBid, options: BidChoiceOptions): ServingPlan[] {
   const { promptTokens, prefillBids = [] } = options;
-  const sources = prefillBids.filter(
+  const prefillCandidates = prefillBids.filter(
     ({ bid, instanceId }) =>
       !bid.load.leaving && bid.usableInMs !== undefined && instanceId !== decode.instanceId,
   );
-  const uncachedTokens = uncached(promptTokens, decode.bid);
-  if (sources.length === 0 || prefersLocal(uncachedTokens, options)) {
-    return [localWay(decode, uncachedTokens, options)];
+  const uncachedTokens = countUncachedTokens(promptTokens, decode.bid);
+  if (prefillCandidates.length === 0 || prefersLocal(uncachedTokens, options)) {
+    return [localPlan(decode, uncachedTokens, options)];
   }
-  const local = takesLongPrompts(decode, options)
-    ? [{ ...localWay(decode, uncachedTokens, options), strain: longPromptStrain }]
+  const localPlans = acceptsLongPrompts(decode, options)
+    ? [
+        {
+          ...localPlan(decode, uncachedTokens, options),
+          interferenceCost: longPromptInterferenceCost,
+        },
+      ]
     : [];
-  return [...local, ...sources.map((prefill) => transferWay(decode, prefill, options))];
+  return [
+    ...localPlans,
+    ...prefillCandidates.map((prefill) => transferPlan(decode, prefill, options)),
+  ];
 }
 
 function prefersLocal(uncachedTokens: number, options: BidChoiceOptions): boolean {
@@ -142,19 +154,19 @@
 }
 
 /**
- * Whether a long prompt may be prefilled where it decodes: only a worker that tells how long its prompts
- * wait, and whose streams still meet their time between tokens beside those that it computes.
+ * Whether the decode worker may prefill a long prompt: only if it reports how long prompts wait there, and
+ * its streams still meet their time between tokens with the prompts that it computes now.
  */
-function takesLongPrompts({ bid }: CandidateBid, { targets }: BidChoiceOptions): boolean {
+function acceptsLongPrompts({ bid }: CandidateBid, { targets }: BidChoiceOptions): boolean {
   const slowStepLimitMs = slowStepShare * targets.betweenTokensMs;
   return bid.prefillWaitMs !== undefined && (bid.slowStepMs ?? 0) <= slowStepLimitMs;
 }
 
-function localWay(
+function localPlan(
   decode: CandidateBid,
   uncachedTokens: number,
   options: BidChoiceOptions,
-): ServingWay {
+): ServingPlan {
   const { prefillWaitMs = 0, prefillMsPerToken, load } = decode.bid;
   const msPerToken = prefillMsPerToken ?? options.model.prefillMsPerToken['decode-worker'];
   return {
@@ -171,13 +183,13 @@
   };
 }
 
-function transferWay(
+function transferPlan(
   decode: CandidateBid,
   prefill: CandidateBid,
   options: BidChoiceOptions,
-): ServingWay {
+): ServingPlan {
   const { model, linkRates, promptTokens } = options;
-  const uncachedTokens = uncached(promptTokens, prefill.bid);
+  const uncachedTokens = countUncachedTokens(promptTokens, prefill.bid);
   const { load, prefillMsPerToken, prefillWaitMs = 0, exportMs } = prefill.bid;
   const msPerToken =
     (prefillMsPerToken ?? load.stepMs) || model.prefillMsPerToken['prefill-worker'];
@@ -198,78 +210,81 @@
 }
 
 /**
- * Goodput that others lose by this request. Where a slot has to be awaited, somebody else waits for it
- * too: the request takes the place of as many usual ones as it is larger than they are.
+ * Goodput that other requests lose if this one is served. If the slot is not free yet, other requests wait
+ * for it too: this one displaces as many typical requests as it is larger than they are.
  */
-function displacedBy({ decode, strain = 0 }: ServingWay, options: BidChoiceOptions): number {
+function estimateDisplacedGoodput(
+  { decode, interferenceCost = 0 }: ServingPlan,
+  options: BidChoiceOptions,
+): number {
   const { promptTokens, targets, model } = options;
-  const contendedMs = contendedShare * targets.firstTokenMs;
-  const contention = Math.min(1, (decode.bid.usableInMs ?? 0) / contendedMs);
+  const fullContentionMs = fullContentionShare * targets.firstTokenMs;
+  const contention = Math.min(1, (decode.bid.usableInMs ?? 0) / fullContentionMs);
   const size = promptTokens / Math.max(1, model.averagePrefillTokens);
-  return strain + usualProbability * contention * Math.min(size, largestSize);
+  return interferenceCost + typicalProbability * contention * Math.min(size, maxRelativeSize);
 }
 
-function judge(way: ServingWay, options: BidChoiceOptions): JudgedWay {
+function evaluate(plan: ServingPlan, options: BidChoiceOptions): EvaluatedPlan {
   const decisionOptions = {
     weights: options.weights,
     targets: options.targets,
-    prediction: way.prediction,
+    prediction: plan.prediction,
     elapsedMs: options.elapsedMs ?? 0,
-    uncachedTokens: way.uncachedTokens,
+    uncachedTokens: plan.uncachedTokens,
     averagePrefillTokens: options.model.averagePrefillTokens,
     firstTokenDeviation: options.model.firstTokenDeviation,
     betweenTokensDeviation: options.model.betweenTokensDeviation,
-    displacedGoodput: displacedBy(way, options),
-    serversIdle: isIdle(way.decode) && (way.prefill === undefined || isIdle(way.prefill)),
+    displacedGoodput: estimateDisplacedGoodput(plan, options),
+    serversIdle: isIdle(plan.decode) && (plan.prefill === undefined || isIdle(plan.prefill)),
   };
   return {
-    way,
+    plan,
     decision: decidePrefill(decisionOptions),
-    waitLimitMs: Math.max(way.prediction.usableInMs, usableSlackMs(decisionOptions)),
+    waitLimitMs: Math.max(plan.prediction.usableInMs, usableSlackMs(decisionOptions)),
   };
 }
 
-/** Highest value first; among equals the earlier first token, then the emptier decode worker. */
-function byPreference(left: JudgedWay, right: JudgedWay): number {
+/** Highest value first, then the earlier first token, then the decode worker with more free memory. */
+function comparePlans(left: EvaluatedPlan, right: EvaluatedPlan): number {
   const leftExpected = left.decision.expected;
   const rightExpected = right.decision.expected;
   return (
     rightExpected.value - leftExpected.value ||
     leftExpected.firstTokenMs - rightExpected.firstTokenMs ||
-    right.way.decode.bid.load.freeKvBytes - left.way.decode.bid.load.freeKvBytes
+    right.plan.decode.bid.load.freeKvBytes - left.plan.decode.bid.load.freeKvBytes
   );
 }
 
-function reserve({ way, decision, waitLimitMs }: JudgedWay): BidChoice {
-  const { prediction, uncachedTokens } = way;
+function reserve({ plan, decision, waitLimitMs }: EvaluatedPlan): BidChoice {
+  const { prediction, uncachedTokens } = plan;
   const expected: ReserveExpectation = {
     ...decision.expected,
     usableInMs: prediction.usableInMs,
-    neededInMs: way.prefill ? prediction.prefillWaitMs + prediction.prefillMs : 0,
+    neededInMs: plan.prefill ? prediction.prefillWaitMs + prediction.prefillMs : 0,
     waitLimitMs: decision.kind === 'wait' ? decision.limitMs : waitLimitMs,
     uncachedTokens,
     late: decision.kind === 'start' && decision.late,
     prediction,
   };
-  const { instanceId } = way.decode;
-  if (way.prefill === undefined) {
+  const { instanceId } = plan.decode;
+  if (plan.prefill === undefined) {
     return { kind: 'reserve', instanceId, prefill: 'local', expected };
   }
-  const prefillInstanceId = way.prefill.instanceId;
+  const prefillInstanceId = plan.prefill.instanceId;
   return { kind: 'reserve', instanceId, prefill: 'transfer', prefillInstanceId, expected };
 }
 
-function refuse(judged: readonly JudgedWay[]): BidChoice {
-  if (judged.length === 0) {
+function refuse(evaluated: readonly EvaluatedPlan[]): BidChoice {
+  if (evaluated.length === 0) {
     return { kind: 'refuse', reason: 'no-capacity', retryAfterMs: noCapacityRetryMs };
   }
-  const waits = judged.map(({ decision }) =>
+  const retryDelaysMs = evaluated.map(({ decision }) =>
     decision.kind === 'refuse' ? decision.retryAfterMs : noCapacityRetryMs,
   );
-  return { kind: 'refuse', reason: 'deadline-hopeless', retryAfterMs: Math.min(...waits) };
+  return { kind: 'refuse', reason: 'deadline-hopeless', retryAfterMs: Math.min(...retryDelaysMs) };
 }
 
-function uncached(promptTokens: number, bid: Bid): number {
+function countUncachedTokens(promptTokens: number, bid: Bid): number {
   return Math.max(0, promptTokens - bid.cachedPrefixTokens);
 }
 
@@ -280,6 +295,7 @@
 function isIdle({ bid }: CandidateBid): boolean {
   const { load } = bid;
   const freeShare = load.capacityKvBytes === 0 ? 1 : load.freeKvBytes / load.capacityKvBytes;
-  const waits = load.queuedCount > 0 || bid.usableInMs !== 0 || (bid.prefillWaitMs ?? 0) > 0;
-  return !waits && freeShare >= idleFreeShare;
+  const hasWaitingWork =
+    load.queuedCount > 0 || bid.usableInMs !== 0 || (bid.prefillWaitMs ?? 0) > 0;
+  return !hasWaitingWork && freeShare >= idleFreeShare;
 }
--- a/packages/decisions/src/cacheView.ts
+++ b/packages/decisions/src/cacheView.ts
@@ -1,6 +1,6 @@
 /**
- * What an engine's prefix cache most likely holds, from cache events that are late and have gaps.
- * A wrong answer costs time, never correctness.
+ * Approximates the content of an engine's prefix cache from cache events, which may be late or lost.
+ * A wrong estimate costs time, never correctness.
  */
 
 export type CacheViewEvent =
@@ -9,45 +9,45 @@
   | { kind: 'cleared'; sequence: number };
 
 export interface CacheViewOptions {
-  /** Most blocks remembered; the least recently seen go first. */
+  /** Maximum number of blocks kept; the least recently seen are evicted first. */
   maxBlocks?: number;
-  /** How long a block known before a gap is still believed, since its eviction may be what was lost. */
-  doubtfulForMs?: number;
+  /** How long blocks seen before a gap still count as cached: the lost events may have evicted them. */
+  trustAfterGapMs?: number;
 }
 
 export interface CacheView {
   apply(events: readonly CacheViewEvent[], nowMs: number): void;
-  /** Blocks that the engine has just computed or reused, known from its own answer. */
+  /** Records blocks that the engine has just computed or reused, as its response says. */
   observe(blocks: readonly string[], nowMs: number): void;
   /** Number of leading blocks that are probably cached. */
   cachedBlocks(prefixBlocks: readonly string[], nowMs: number): number;
-  /** Sequence number to ask for events since. */
+  /** Sequence number of the last event applied, for requesting later ones. */
   lastSequence(): number;
-  /** The engine restarted: its cache is empty. */
+  /** Clears the view after an engine restart, which empties the cache. */
   reset(): void;
   size(): number;
 }
 
 const defaultMaxBlocks = 16_384;
-const defaultDoubtfulForMs = 10_000;
+const defaultTrustAfterGapMs = 10_000;
 
 export function createCacheView(options: CacheViewOptions = {}): CacheView {
-  const { maxBlocks = defaultMaxBlocks, doubtfulForMs = defaultDoubtfulForMs } = options;
-  /** Time each block was last seen, least recent first. */
-  const seenAtMs = new Map<string, number>();
+  const { maxBlocks = defaultMaxBlocks, trustAfterGapMs = defaultTrustAfterGapMs } = options;
+  /** Time at which each block was last seen, least recent first. */
+  const lastSeenAtMs = new Map<string, number>();
   let lastSequence = 0;
   let gapAtMs = Number.NEGATIVE_INFINITY;
 
-  function remember(block: string, nowMs: number): void {
-    seenAtMs.delete(block);
-    seenAtMs.set(block, nowMs);
-    const oldest = seenAtMs.size > maxBlocks ? seenAtMs.keys().next().value : undefined;
+  function touch(block: string, nowMs: number): void {
+    lastSeenAtMs.delete(block);
+    lastSeenAtMs.set(block, nowMs);
+    const oldest = lastSeenAtMs.size > maxBlocks ? lastSeenAtMs.keys().next().value : undefined;
     if (oldest !== undefined) {
-      seenAtMs.delete(oldest);
+      lastSeenAtMs.delete(oldest);
     }
   }
 
-  function applyOne(event: CacheViewEvent, nowMs: number): void {
+  function applyEvent(event: CacheViewEvent, nowMs: number): void {
     if (event.sequence <= lastSequence) {
       return;
     }
@@ -57,39 +57,39 @@
     lastSequence = event.sequence;
     switch (event.kind) {
       case 'stored':
-        remember(event.block, nowMs);
+        touch(event.block, nowMs);
         break;
       case 'evicted':
-        seenAtMs.delete(event.block);
+        lastSeenAtMs.delete(event.block);
         break;
       case 'cleared':
-        seenAtMs.clear();
+        lastSeenAtMs.clear();
         break;
       default:
         break;
     }
   }
 
-  function isBelieved(block: string, nowMs: number): boolean {
-    const seenAt = seenAtMs.get(block);
-    if (seenAt === undefined) {
+  function isProbablyCached(block: string, nowMs: number): boolean {
+    const seenAtMs = lastSeenAtMs.get(block);
+    if (seenAtMs === undefined) {
       return false;
     }
-    return seenAt >= gapAtMs || nowMs - gapAtMs < doubtfulForMs;
+    return seenAtMs >= gapAtMs || nowMs - gapAtMs < trustAfterGapMs;
   }
 
   return {
-    apply: (events, nowMs) => events.forEach((event) => applyOne(event, nowMs)),
-    observe: (blocks, nowMs) => blocks.forEach((block) => remember(block, nowMs)),
+    apply: (events, nowMs) => events.forEach((event) => applyEvent(event, nowMs)),
+    observe: (blocks, nowMs) => blocks.forEach((block) => touch(block, nowMs)),
     cachedBlocks: (prefixBlocks, nowMs) => {
-      const firstMissing = prefixBlocks.findIndex((block) => !isBelieved(block, nowMs));
+      const firstMissing = prefixBlocks.findIndex((block) => !isProbablyCached(block, nowMs));
       return firstMissing < 0 ? prefixBlocks.length : firstMissing;
     },
     lastSequence: () => lastSequence,
     reset: () => {
-      seenAtMs.clear();
+      lastSeenAtMs.clear();
       lastSequence = 0;
     },
-    size: () => seenAtMs.size,
+    size: () => lastSeenAtMs.size,
   };
 }
--- a/packages/decisions/src/candidates.ts
+++ b/packages/decisions/src/candidates.ts
@@ -1,9 +1,9 @@
 /**
- * Picks the two or three workers that are asked for a bid. The first is the home of the prompt's
- * prefix (rendezvous with bounded load), where its KV cache most likely is; the others are
- * power-of-two picks by aged load hints out of this entry's subset. Workers of the same data centre
- * come first; remote ones join only where no local candidate can serve without a wait, or where a
- * lone one could fail to bid.
+ * Selects the two or three workers that are asked for a bid. The first is the home of the prompt's
+ * prefix (rendezvous hashing with bounded loads), where its KV cache most likely is. The others are
+ * chosen by power of two choices, by aged load hints, from this entry process's subset. Workers of
+ * the same data centre are preferred. Remote ones are added only if no local candidate can serve
+ * without a wait, or if a single local candidate could fail to bid.
  */
 import type { Random } from '@bluebellhitch/shared';
 import type { LoadHints } from './loadHints';
@@ -33,33 +33,33 @@
 export interface CandidateSelectorOptions {
   /** Seeds the subset. */
   entryId: string;
-  /** Where this entry runs. */
+  /** Data centre of this entry process. */
   dataCentre: string;
   hints: LoadHints;
   random: Random;
   /** Candidates per decision. */
   count?: number;
-  /** Workers that this entry prefers, per need and locality. */
+  /** Workers in this entry process's subset, per need and locality. */
   subsetSize?: number;
-  /** A home may have this many times the subset's average pressure. */
+  /** A prefix home is skipped above this multiple of the subset's average pressure. */
   loadBound?: number;
-  /** Expected wait from which a local worker does not count as able to serve. */
+  /** Expected wait above which a local worker counts as saturated. */
   spillWaitMs?: number;
 }
 
 export interface CandidateQuery {
-  /** Instances of one service; only looked at when `membershipVersion` changed. */
+  /** Instances of one service; read only when `membershipVersion` or a reported role has changed. */
   instances: readonly CandidateInstance[];
   membershipVersion: number;
   need: WorkerNeed;
   /** From `prefixKey`; absent where the prompt has no full block. */
   key?: string;
-  /** Ejected servers, servers already tried, servers beside which the request must not run. */
+  /** Servers that were ejected, were tried already, or must not run the request. */
   excluded?: ReadonlySet<string>;
   nowMs: number;
 }
 
-/** One per service: it caches what it derived from the last membership version. */
+/** One per service: it caches the worker pools derived from the last membership version. */
 export interface CandidateSelector {
   select(query: CandidateQuery): Candidate[];
 }
@@ -67,7 +67,7 @@
 export type SelectCandidatesOptions = CandidateSelectorOptions &
   Omit<CandidateQuery, 'membershipVersion'>;
 
-interface Assessed {
+interface AssessedInstance {
   instance: CandidateInstance;
   pressure: number;
 }
@@ -78,16 +78,16 @@
 }
 
 /**
- * A lone local worker that is paused makes no bid, and its hints look well until then. With a second
- * one asked, wherever it is, the request goes on without it.
+ * A paused worker sends no bid, but its last hints still look healthy. If it were the only candidate, the
+ * request would fail; a second candidate in any data centre lets it proceed.
  */
-const fewestBidders = 2;
-/** Blocks that choose a home: longer prefixes would scatter prompts that share a template. */
-const keyBlocks = 4;
+const minBidders = 2;
+/** Leading blocks that determine the home: more would scatter prompts that share a template. */
+const prefixKeyBlocks = 4;
 
 /** The routing key of a prompt: its service and its first blocks. */
 export function prefixKey(service: string, prefixBlocks: readonly string[]): string | undefined {
-  const block = prefixBlocks[Math.min(prefixBlocks.length, keyBlocks) - 1];
+  const block = prefixBlocks[Math.min(prefixBlocks.length, prefixKeyBlocks) - 1];
   return block === undefined ? undefined : `${service}\u0000${block}`;
 }
 
@@ -103,36 +103,38 @@
       membershipVersion = query.membershipVersion;
       roleRevision = hints.roleRevision();
     }
-    const known = pools.get(query.need) ?? buildPools(query, options);
-    pools.set(query.need, known);
-    return known;
+    const needPools = pools.get(query.need) ?? buildPools(query, options);
+    pools.set(query.need, needPools);
+    return needPools;
   }
 
   function select(query: CandidateQuery): Candidate[] {
     const { local, remote } = poolsFor(query);
     const chosen = pick(local, query, count, candidateReasons.lowLoad);
-    const able = chosen.some(
+    const hasCapacity = chosen.some(
       ({ instanceId }) => !hints.isSaturated(instanceId, spillWaitMs, query.nowMs),
     );
-    const fewest = query.need === workerNeeds.plain ? 1 : Math.min(fewestBidders, count);
-    if (able && chosen.length >= fewest) {
+    const minCandidates = query.need === workerNeeds.plain ? 1 : Math.min(minBidders, count);
+    if (hasCapacity && chosen.length >= minCandidates) {
       return chosen;
     }
-    const wantedRemote = able ? fewest - chosen.length : Math.max(1, count - chosen.length);
-    const remotes = pick(remote, query, wantedRemote, candidateReasons.remote);
+    const remoteCount = hasCapacity
+      ? minCandidates - chosen.length
+      : Math.max(1, count - chosen.length);
+    const remotes = pick(remote, query, remoteCount, candidateReasons.remote);
     return [...chosen.slice(0, count - remotes.length), ...remotes];
   }
 
   function pick(
     pool: WorkerPool,
     query: CandidateQuery,
-    wanted: number,
+    pickCount: number,
     reason: CandidateReason,
   ): Candidate[] {
     const members = assess(pool.subset, query);
     const home = findHome(pool, members, query);
     const others = members.filter(({ instance }) => instance.id !== home?.id);
-    const picks = pickByPressure(others, home === undefined ? wanted : wanted - 1);
+    const picks = pickByPressure(others, home === undefined ? pickCount : pickCount - 1);
     const homeReason =
       reason === candidateReasons.remote ? candidateReasons.remote : candidateReasons.prefixHome;
     return [
@@ -141,11 +143,14 @@
     ];
   }
 
-  /** The instances that may take the request, with their expected pressure. */
-  function assess(instances: readonly CandidateInstance[], query: CandidateQuery): Assessed[] {
+  /** The instances that may serve the request, with their expected pressure. */
+  function assess(
+    instances: readonly CandidateInstance[],
+    query: CandidateQuery,
+  ): AssessedInstance[] {
     const { excluded, nowMs } = query;
     return instances.flatMap((instance) => {
-      const { pressure, leaving } = hints.outlook(instance.id, nowMs);
+      const { pressure, leaving } = hints.estimateLoad(instance.id, nowMs);
       return leaving || excluded?.has(instance.id) ? [] : { instance, pressure };
     });
   }
@@ -153,7 +158,7 @@
   /** The first worker in the key's rendezvous order that is not overloaded. */
   function findHome(
     pool: WorkerPool,
-    members: readonly Assessed[],
+    members: readonly AssessedInstance[],
     query: CandidateQuery,
   ): CandidateInstance | undefined {
     if (query.key === undefined) {
@@ -165,40 +170,44 @@
     return (homes.find(({ pressure }) => pressure <= bound) ?? homes[0])?.instance;
   }
 
-  /** Repeats: take two at random, keep the one under less pressure. */
-  function pickByPressure(members: readonly Assessed[], wanted: number): Assessed[] {
+  /** Power of two choices: repeatedly draws two at random and keeps the one with less pressure. */
+  function pickByPressure(
+    members: readonly AssessedInstance[],
+    pickCount: number,
+  ): AssessedInstance[] {
     const remaining = [...members];
     const randomIndex = () => Math.floor(random() * remaining.length);
-    return Array.from({ length: Math.min(wanted, members.length) }, () => {
+    return Array.from({ length: Math.min(pickCount, members.length) }, () => {
       const first = randomIndex();
       const other = randomIndex();
-      const lighter = pressureAt(remaining, first) <= pressureAt(remaining, other) ? first : other;
-      return remaining.splice(lighter, 1);
+      const lessLoaded =
+        pressureAt(remaining, first) <= pressureAt(remaining, other) ? first : other;
+      return remaining.splice(lessLoaded, 1);
     }).flat();
   }
 
   return { select };
 }
 
-/** A single decision without a cache, for tests and tools. */
+/** A single selection without a cache, for tests and tools. */
 export function selectCandidates(options: SelectCandidatesOptions): Candidate[] {
   return createCandidateSelector(options).select({ ...options, membershipVersion: 0 });
 }
 
 function buildPools(query: CandidateQuery, options: CandidateSelectorOptions): NeedPools {
   const { entryId, dataCentre, hints, subsetSize = 16 } = options;
-  const serving = query.instances.filter(
+  const eligible = query.instances.filter(
     ({ id, role, state }) => state === 'live' && roleServes(hints.role(id) ?? role, query.need),
   );
   const poolOf = (workers: CandidateInstance[]) =>
     createWorkerPool({ workers, entryId, subsetSize });
   return {
-    local: poolOf(serving.filter((instance) => instance.dataCentre === dataCentre)),
-    remote: poolOf(serving.filter((instance) => instance.dataCentre !== dataCentre)),
+    local: poolOf(eligible.filter((instance) => instance.dataCentre === dataCentre)),
+    remote: poolOf(eligible.filter((instance) => instance.dataCentre !== dataCentre)),
   };
 }
 
-function pressureAt(members: readonly Assessed[], index: number): number {
+function pressureAt(members: readonly AssessedInstance[], index: number): number {
   return members[index]?.pressure ?? Infinity;
 }
 
--- a/packages/decisions/src/eventSize.ts
+++ b/packages/decisions/src/eventSize.ts
@@ -1,21 +1,22 @@
 /**
- * Tokens in one event of a stream. Engines may put many tokens into one, and nothing in an event tells how many. Load
- * reports do, where they list the runs; else the callers' hints, which are right in the middle.
+ * Estimates how many tokens one stream event holds. Engines may put several tokens into an event, and events do not
+ * tell how many. Load reports that list the runs do; without them the estimate uses the output lengths that callers
+ * announce, whose median is about right.
  */
 import { createRecentQuantile } from './recentQuantile';
 
 /** One run as an engine reported it. */
 export interface ReportedRun {
   requestId: string;
-  /** Of the prompt and of what was emitted. */
+  /** Tokens of the prompt and of the output so far. */
   memoryTokens: number;
   events: number;
 }
 
 export interface EventSize {
-  /** Takes the runs of one engine's next report. */
+  /** Compares the runs of an engine's load report with those of its previous one. */
   report(serverId: string, runs: readonly ReportedRun[]): void;
-  /** An answer with a hint has ended. */
+  /** Records a finished response for which the caller had announced an output length. */
   observe(hintTokens: number, events: number): void;
   /** Undefined until something has been measured. */
   tokens(): number | undefined;
@@ -24,34 +25,34 @@
 
 const sampleCount = 128;
 const refreshEvery = 8;
-/** Shorter advances are mostly the rounding of memory to blocks. */
-const leastAdvance = 4;
+/** With fewer new events, the change in memory is mostly rounding to blocks. */
+const minAdvanceEvents = 4;
 
 export function createEventSize(): EventSize {
   const lastRuns = new Map<string, Map<string, ReportedRun>>();
-  const median = () => createRecentQuantile({ quantile: 0.5, sampleCount, refreshEvery });
-  const measured = median();
-  const hinted = median();
+  const createMedian = () => createRecentQuantile({ quantile: 0.5, sampleCount, refreshEvery });
+  const fromReports = createMedian();
+  const fromHints = createMedian();
 
   return {
     report(serverId, runs) {
-      const before = lastRuns.get(serverId);
+      const previousRuns = lastRuns.get(serverId);
       runs.forEach((run) => {
-        const last = before?.get(run.requestId);
-        const events = run.events - (last?.events ?? Infinity);
-        const tokens = run.memoryTokens - (last?.memoryTokens ?? 0);
-        if (events >= leastAdvance && tokens > 0) {
-          measured.observe(tokens / events);
+        const previousRun = previousRuns?.get(run.requestId);
+        const events = run.events - (previousRun?.events ?? Infinity);
+        const tokens = run.memoryTokens - (previousRun?.memoryTokens ?? 0);
+        if (events >= minAdvanceEvents && tokens > 0) {
+          fromReports.observe(tokens / events);
         }
       });
       lastRuns.set(serverId, new Map(runs.map((run) => [run.requestId, run])));
     },
     observe(hintTokens, events) {
       if (events > 0 && hintTokens > 0) {
-        hinted.observe(hintTokens / events);
+        fromHints.observe(hintTokens / events);
       }
     },
-    tokens: () => measured.value() || hinted.value() || undefined,
+    tokens: () => fromReports.value() || fromHints.value() || undefined,
     forget: (serverId) => lastRuns.delete(serverId),
   };
 }
--- a/packages/decisions/src/expectedValue.ts
+++ b/packages/decisions/src/expectedValue.ts
@@ -1,11 +1,11 @@
 /**
- * Decides whether a prefill is worth starting. One formula for every service:
+ * Decides whether a prefill is worth starting, with one formula for all services:
  *
  *     value = goodput x P - wastedPrefill x cost x (1 - P) - displaced
  *
  * where P is the probability that both latency targets are met, `cost` is the prefill's size relative
- * to the service's average one, and the weights are the document's. A prefill starts where its value
- * is positive.
+ * to the service's average, `displaced` is the goodput that other requests lose, and the weights come
+ * from the service document. A prefill starts if its value is positive.
  */
 
 export interface LatencyTargets {
@@ -18,9 +18,9 @@
   wastedPrefill: number;
 }
 
-/** Predicted durations of one way to serve the request, from now on. */
+/** Predicted durations of one serving plan, counted from now. */
 export interface PhasePrediction {
-  /** Whether the prefill runs elsewhere while the decode slot is awaited, or needs the slot itself. */
+  /** Whether the prefill runs elsewhere during the wait for the decode slot; otherwise it needs the slot. */
   overlapsWait: boolean;
   /** When the decode slot is usable. */
   usableInMs: number;
@@ -38,36 +38,36 @@
   prediction: PhasePrediction;
   /** Time since the request arrived. */
   elapsedMs: number;
-  /** Tokens that would be computed. */
+  /** Tokens that the prefill would compute. */
   uncachedTokens: number;
   averagePrefillTokens: number;
-  /** Relative spread of earlier predictions; see `PhaseModel`. */
+  /** Relative error of earlier predictions; see `PhaseModel`. */
   firstTokenDeviation: number;
   betweenTokensDeviation: number;
-  /** Goodput that waiting requests are expected to lose by this one's use of the servers. */
+  /** Goodput that waiting requests are expected to lose if this one uses the servers. */
   displacedGoodput?: number;
-  /** Whether the servers have nothing else to do: then even a late answer displaces nobody. */
+  /** Whether the servers are idle: then even a late response displaces no other request. */
   serversIdle?: boolean;
 }
 
 export interface ExpectedOutcome {
   /** Predicted time to the first token, counted from the request's arrival. */
   firstTokenMs: number;
-  /** That both targets are met. */
+  /** Probability that both targets are met. */
   probability: number;
   value: number;
 }
 
 export type PrefillDecision =
-  /** Start after `startInMs`: earlier, the result would expire before the slot is usable. */
+  /** Start after `startInMs`: if started earlier, the result would expire before the slot is usable. */
   | { kind: 'start'; startInMs: number; late: boolean; expected: ExpectedOutcome }
-  /** Worth it only if the slot becomes usable sooner than predicted; give up after `limitMs`. */
+  /** Worth starting only if the slot becomes usable sooner than predicted; give up after `limitMs`. */
   | { kind: 'wait'; limitMs: number; expected: ExpectedOutcome }
   | { kind: 'refuse'; retryAfterMs: number; expected: ExpectedOutcome };
 
-/** A prefill aims to end this long before its slot is usable, as a guard against a late start. */
+/** A prefill is scheduled to end this long before its slot is usable, in case it starts late. */
 const startMarginMs = 20;
-/** Below this share of the needed probability, waiting would only delay the refusal. */
+/** Below this share of the break-even probability, waiting would only delay the refusal. */
 const waitProbabilityShare = 0.5;
 const minimumRetryAfterMs = 100;
 
@@ -80,8 +80,9 @@
   if (options.serversIdle) {
     return { kind: 'start', startInMs: startInMs(options.prediction), late: true, expected };
   }
-  const worthWaiting = expected.probability >= waitProbabilityShare * neededProbability(options);
-  if (worthWaiting && slackMs > 0 && options.prediction.usableInMs > slackMs) {
+  const isWorthWaiting =
+    expected.probability >= waitProbabilityShare * breakEvenProbability(options);
+  if (isWorthWaiting && slackMs > 0 && options.prediction.usableInMs > slackMs) {
     return { kind: 'wait', limitMs: slackMs, expected };
   }
   const excessMs = options.prediction.usableInMs - Math.max(0, slackMs);
@@ -97,7 +98,7 @@
   return { firstTokenMs, probability, value };
 }
 
-/** The KV cache is imported once prefill is done and the slot is usable; one step yields a token. */
+/** The KV cache is imported once the prefill is done and the slot is usable; the first token takes one more step. */
 export function predictFirstTokenMs(prediction: PhasePrediction): number {
   const { overlapsWait, usableInMs, transferMs, stepMs } = prediction;
   const prefilledInMs = prefillEndMs(prediction);
@@ -106,17 +107,21 @@
 }
 
 /**
- * Latest `usableInMs` at which the prefill would still be worth starting; negative where none is.
- * Entries pass it to the agent as the longest useful wait.
+ * Latest `usableInMs` at which the prefill would still be worth starting; negative if there is none.
+ * Sent to the agent as the longest useful wait for the slot.
  */
 export function usableSlackMs(options: PrefillDecisionOptions): number {
   const { prediction, targets, elapsedMs, firstTokenDeviation } = options;
-  const needed = neededProbability(options) / betweenTokensProbability(options);
-  if (needed >= 1) {
+  const requiredProbability = breakEvenProbability(options) / betweenTokensProbability(options);
+  if (requiredProbability >= 1) {
     return -1;
   }
   const limitMs = targets.firstTokenMs - elapsedMs;
-  const meanMs = largestMean(limitMs, firstTokenDeviation, Math.max(needed, smallestNeeded));
+  const meanMs = maxMeanMs(
+    limitMs,
+    firstTokenDeviation,
+    Math.max(requiredProbability, minProbability),
+  );
   const fixedMs = prediction.transferMs + prediction.stepMs;
   const prefilledInMs = prefillEndMs(prediction);
   if (meanMs < prefilledInMs + fixedMs) {
@@ -127,30 +132,30 @@
 
 /**
  * Probability that a duration predicted as `meanMs` stays within `limitMs`. Logistic rather than
- * normal: errors of latency predictions have heavy tails, and it inverts in closed form.
+ * normal, because errors of latency predictions have heavy tails and it has a closed-form inverse.
  */
 export function probabilityWithin(limitMs: number, meanMs: number, deviation: number): number {
   if (limitMs <= 0) {
     return 0;
   }
-  const scaleMs = Math.max(deviation * meanMs, smallestSpreadMs) * logisticScale;
+  const scaleMs = Math.max(deviation * meanMs, minDeviationMs) * scalePerDeviation;
   return 1 / (1 + Math.exp((meanMs - limitMs) / scaleMs));
 }
 
-/** Standard deviation of a logistic distribution is pi / sqrt(3) times its scale. */
-const logisticScale = Math.sqrt(3) / Math.PI;
-const smallestSpreadMs = 1;
-/** Services without a weight on wasted prefill still get no probability of exactly 0. */
-const smallestNeeded = 0.01;
+/** The standard deviation of a logistic distribution is pi / sqrt(3) times its scale. */
+const scalePerDeviation = Math.sqrt(3) / Math.PI;
+const minDeviationMs = 1;
+/** Keeps the logit finite if wasted prefill has no weight, and the divisor in `maxMeanMs` positive. */
+const minProbability = 0.01;
 
-/** Inverse of `probabilityWithin` in the mean. */
-function largestMean(limitMs: number, deviation: number, probability: number): number {
-  const logit = Math.log(probability / (1 - probability)) * logisticScale * deviation;
-  return limitMs / Math.max(1 + logit, smallestNeeded);
+/** Inverse of `probabilityWithin`: the largest mean that stays within the limit with this probability. */
+function maxMeanMs(limitMs: number, deviation: number, probability: number): number {
+  const logit = Math.log(probability / (1 - probability)) * scalePerDeviation * deviation;
+  return limitMs / Math.max(1 + logit, minProbability);
 }
 
-/** Probability at which the value is 0. */
-function neededProbability(options: PrefillDecisionOptions): number {
+/** Probability of success at which the expected value is 0. */
+function breakEvenProbability(options: PrefillDecisionOptions): number {
   const { weights, displacedGoodput = 0 } = options;
   const loss = weights.wastedPrefill * prefillCost(options);
   const total = weights.goodput + loss;
--- a/packages/decisions/src/lengthPredictor.ts
+++ b/packages/decisions/src/lengthPredictor.ts
@@ -1,6 +1,6 @@
 /**
- * Output lengths learned from finished requests, by service, class and prompt size. Agents use them
- * to predict when a running stream releases its memory.
+ * Predicts output lengths from those of finished requests, by service, class and prompt size. Agents
+ * use it to predict when a running stream releases its memory.
  */
 import { createBoundedMap } from './boundedMap';
 
@@ -11,9 +11,9 @@
 }
 
 export interface LengthQuery extends LengthKey {
-  /** The caller's limit: no prediction exceeds it. */
+  /** The caller's limit; predictions never exceed it. */
   maxOutputTokens: number;
-  /** Share of requests that end within the prediction. */
+  /** Share of requests that are expected to end within the prediction. */
   quantile?: number;
 }
 
@@ -25,13 +25,13 @@
   observe(key: LengthKey, outputTokens: number): void;
   /** Expected output tokens of a request that has not started. */
   predict(query: LengthQuery): number;
-  /** Expected output tokens still to come, given that the stream has come this far. */
+  /** Expected further output tokens of a stream that has emitted `emittedTokens`. */
   predictRemaining(query: RemainingQuery): number;
 }
 
 export interface LengthPredictorOptions {
   maxBuckets?: number;
-  /** Newest lengths kept per bucket. */
+  /** Number of newest lengths kept per bucket. */
   samplesPerBucket?: number;
 }
 
@@ -41,10 +41,10 @@
   sorted(): Uint32Array;
 }
 
-/** Fewer samples say too little about a bucket; the next wider one is asked then. */
+/** With fewer samples a bucket is not representative, and the next wider one is used. */
 const minimumSamples = 8;
 const defaultQuantile = 0.5;
-/** A stream longer than all known ones is expected to go on for this part of its length. */
+/** A stream longer than all samples is expected to continue for this share of its length. */
 const overrunShare = 0.25;
 
 export function createLengthPredictor(options: LengthPredictorOptions = {}): LengthPredictor {
@@ -57,7 +57,7 @@
     });
   }
 
-  /** Lengths of the narrowest bucket that has enough of them, ascending. */
+  /** Lengths in the narrowest bucket that has enough samples, ascending. */
   function samplesFor(key: LengthKey): Uint32Array | undefined {
     return bucketNames(key)
       .map((name) => buckets.get(name)?.sorted())
@@ -79,7 +79,7 @@
   };
 }
 
-/** From the narrowest bucket to the widest. */
+/** Names of the buckets of a request, from the narrowest to the widest. */
 function bucketNames({ service, className, promptTokens }: LengthKey): string[] {
   const sizeClass = Math.floor(Math.log2(Math.max(1, promptTokens)));
   const prefix = `${service}\u0000${className}`;
--- a/packages/decisions/src/linkRate.ts
+++ b/packages/decisions/src/linkRate.ts
@@ -1,14 +1,14 @@
 /**
- * Rate of each link between two instances, learned from finished transfers. A link that has not been
- * used is expected to be as fast as the average of the others, in which each link counts once: a
- * single slow link with many transfers must not make all others look slow.
+ * Estimates the rate of each link between two instances from finished transfers. An unused link is
+ * expected to have the average rate of the others. Each link counts once in the average, so that a
+ * single slow link with many transfers does not make all others look slow.
  */
 import { createBoundedMap } from './boundedMap';
 import { createRunningEstimate, type RunningEstimate } from './runningEstimate';
 
 export interface LinkRatesOptions {
   maxLinks?: number;
-  /** Assumed until the first transfer ends. */
+  /** Rate assumed until the first transfer has finished. */
   initialRateBytesPerSecond?: number;
 }
 
@@ -21,7 +21,7 @@
 
 export interface LinkRates {
   observe(transfer: FinishedTransfer): void;
-  /** For a transfer that stalled or broke: the link counts as slower than it was. */
+  /** Lowers the link's rate after a transfer that stalled or failed. */
   observeStall(sourceId: string, targetId: string): void;
   rateBytesPerSecond(sourceId: string, targetId: string): number;
   transferMs(sourceId: string, targetId: string, bytes: number): number;
@@ -43,7 +43,7 @@
   });
   let rateSum = 0;
 
-  /** The assumed rate counts as one more link. */
+  /** The initial rate counts as one more link. */
   function averageRate(): number {
     return (initialRateBytesPerSecond + rateSum) / (1 + links.size());
   }
--- a/packages/decisions/src/loadHints.ts
+++ b/packages/decisions/src/loadHints.ts
@@ -1,7 +1,7 @@
 /**
- * The last load hint that each instance sent with a reply. Hints are never refreshed in the
- * background, so each has an age, and an old one counts less: its freshness halves with every
- * `halfLifeMs`, and what it lacks is filled with the average of all recent hints.
+ * Keeps the last load hint that each instance sent with a reply. Hints are not refreshed in the
+ * background, so older ones get less weight: a hint's freshness halves every `halfLifeMs`, and the
+ * remaining weight goes to the average of all recent hints.
  */
 import type { LoadHint, WorkerRole } from '@bluebellhitch/protocol';
 import { createBoundedMap } from './boundedMap';
@@ -10,35 +10,35 @@
 export interface LoadHintsOptions {
   maxInstances?: number;
   halfLifeMs?: number;
-  /** A server that said it leaves is believed this long: the instance list lags behind it. */
+  /** How long a server's own report that it is leaving overrides the instance list, which lags. */
   leavingLifetimeMs?: number;
 }
 
 export interface AgedHint {
   hint: LoadHint;
   ageMs: number;
-  /** 1 for a hint of this moment, towards 0 with age. */
+  /** Weight of the hint: 1 when just received, decaying towards 0 with age. */
   freshness: number;
 }
 
 export interface InstanceOutlook {
-  /** Expected pressure on the instance, see `loadPressure`; the average where nothing is known. */
+  /** Expected pressure on the instance, see `loadPressure`; the average if there is no hint. */
   pressure: number;
-  /** Whether the instance said lately that it takes no new work. */
+  /** Whether the instance has recently reported that it takes no new work. */
   leaving: boolean;
 }
 
 export interface LoadHints {
   record(instanceId: string, hint: LoadHint, nowMs: number): void;
   get(instanceId: string, nowMs: number): AgedHint | undefined;
-  outlook(instanceId: string, nowMs: number): InstanceOutlook;
-  /** Whether a recent hint says that new work would wait longer than `waitMs`. */
+  estimateLoad(instanceId: string, nowMs: number): InstanceOutlook;
+  /** Whether a recent hint reports that new work would wait longer than `waitMs`. */
   isSaturated(instanceId: string, waitMs: number, nowMs: number): boolean;
-  /** The role that the instance itself reported last; the instance list lags behind it. */
+  /** The role that the instance last reported itself, which is newer than the instance list. */
   role(instanceId: string): WorkerRole | undefined;
-  /** Changes whenever an instance reports another role than before. */
+  /** Changes whenever an instance reports a new role. */
   roleRevision(): number;
-  /** For an instance that restarted or is gone. */
+  /** To be called for an instance that has restarted or is gone. */
   forget(instanceId: string): void;
   size(): number;
 }
@@ -50,7 +50,7 @@
 }
 
 const recentFreshness = 0.5;
-/** Concurrent calls at which a server without KV cache counts as half loaded. */
+/** Concurrent calls at which a server without a KV cache counts as half loaded. */
 const halfLoadedCalls = 16;
 
 export function createLoadHints(options: LoadHintsOptions = {}): LoadHints {
@@ -62,11 +62,11 @@
   const freshnessAt = (ageMs: number) => 0.5 ** (ageMs / halfLifeMs);
 
   function record(instanceId: string, hint: LoadHint, nowMs: number): void {
-    const before = recorded.get(instanceId);
-    if (before !== undefined && before.recordedAtMs > nowMs) {
+    const previous = recorded.get(instanceId);
+    if (previous !== undefined && previous.recordedAtMs > nowMs) {
       return;
     }
-    if (before?.hint.role !== hint.role) {
+    if (previous?.hint.role !== hint.role) {
       roleRevision += 1;
     }
     const pressure = loadPressure(hint);
@@ -83,7 +83,7 @@
     return { hint: entry.hint, ageMs, freshness: freshnessAt(ageMs) };
   }
 
-  function outlook(instanceId: string, nowMs: number): InstanceOutlook {
+  function estimateLoad(instanceId: string, nowMs: number): InstanceOutlook {
     const entry = recorded.get(instanceId);
     if (entry === undefined) {
       return { pressure: averagePressure.mean(), leaving: false };
@@ -104,7 +104,7 @@
   return {
     record,
     get,
-    outlook,
+    estimateLoad,
     isSaturated,
     role: (instanceId) => recorded.get(instanceId)?.hint.role,
     roleRevision: () => roleRevision,
@@ -116,8 +116,8 @@
 }
 
 /**
- * One number for comparing servers of a pool: the used share of the memory (or, on a server without
- * KV cache, a growing function of its concurrent calls) plus the queue relative to the work running.
+ * One number for comparing the servers of a pool: the used share of memory (on a server without a KV
+ * cache, a function that grows with its concurrent calls) plus the queue relative to the active work.
  */
 export function loadPressure(hint: LoadHint): number {
   const usedShare =
--- a/packages/decisions/src/memoryForecast.ts
+++ b/packages/decisions/src/memoryForecast.ts
@@ -1,104 +1,117 @@
 /**
- * How much of an engine's memory stays free while its streams grow. Each stream takes its prompt's memory at once, more
- * with each token that it emits, and frees all of it when it ends; how long it will be is known only roughly.
+ * Forecasts how much of an engine's memory stays free while its streams grow. A stream takes memory for its prompt when
+ * it is placed and more with each token that it emits, and frees all of it when it ends. Its final length is known only
+ * roughly.
  *
- * Answers bursts: many streams begin together, so the sum of what they hold now says little about the moment at which
- * all of them are long. A constant share of the expected output is both too little there (streams are paused and their
- * prompts read again) and too much where streams are spread evenly over their lives.
+ * Reserving a constant share of the expected output fails under bursts. If many streams begin together, it reserves too
+ * little: all of them are long at the same time, so streams are paused and their prompts are computed again. If
+ * streams are spread evenly over their lifetimes, it reserves too much.
  */
 
 import type { StreamOutlook } from '@bluebellhitch/protocol';
 
 export interface MemoryForecastOptions {
   streams: readonly StreamOutlook[];
-  /** Tokens in use that no stream explains. */
+  /** Tokens in use that none of the streams accounts for. */
   otherTokens?: number;
   capacityTokens: number;
-  /** How narrow lengths lie around their median: see `survival`. */
+  /** Shape parameter of the length distribution, larger for narrower ones; see `survivalProbability`. */
   lengthShape: number;
-  /** Standard deviations of the forecast that stay free besides its mean. */
+  /** Safety margin above the mean demand, in standard deviations. */
   caution: number;
 }
 
 export interface MemoryForecast {
-  /** Tokens that stay free at the worst moment ahead; negative where memory is expected to run out. */
+  /** Fewest free tokens over the forecast period; negative if memory is expected to run out. */
   freeTokens(): number;
   /** The same with one more stream. */
   freeTokensWith(stream: StreamOutlook): number;
   add(stream: StreamOutlook): void;
 }
 
-/** Memory in use at one moment ahead. */
-interface Need {
-  /** Tokens that each stream that still runs has emitted until then. */
+/** Memory that the streams hold at one moment in the future. */
+interface MemoryDemand {
+  /** Tokens that each stream that still runs emits until then. */
   aheadTokens: number;
-  /** If no stream has ended until then. */
-  most: number;
-  mean: number;
+  /** Demand if no stream ends until then. */
+  maxTokens: number;
+  meanTokens: number;
   variance: number;
 }
 
 /**
- * Moments looked at, as parts of the streams' typical length. All streams of an engine emit at the same pace, so tokens
- * emitted from now on measure the time. Beyond twice the typical length few of today's streams run.
+ * Moments that are evaluated, as fractions of the streams' typical length. All streams of an engine emit at the same
+ * rate, so time is measured in emitted tokens. Few of the current streams still run after twice the typical length.
  */
-const horizons = [0, 0.15, 0.3, 0.45, 0.6, 0.8, 1, 1.25, 1.5, 2];
+const horizonFractions = [0, 0.15, 0.3, 0.45, 0.6, 0.8, 1, 1.25, 1.5, 2];
 
 export function createMemoryForecast(options: MemoryForecastOptions): MemoryForecast {
-  const { streams, otherTokens = 0, capacityTokens, lengthShape, caution } = options;
+  const {
+    streams,
+    otherTokens = 0,
+    capacityTokens,
+    lengthShape,
+    caution: marginDeviations,
+  } = options;
   const freeNow = capacityTokens - otherTokens;
-  let needs = streams.length === 0 ? undefined : needsAhead(typicalTokens(streams));
+  let demands = streams.length === 0 ? undefined : createDemands(averageMedianTokens(streams));
   streams.forEach(add);
 
-  function addTo(need: Need, stream: StreamOutlook): Need {
-    const held = stream.promptTokens + stream.emittedTokens + need.aheadTokens;
-    const runs = survival(stream, need.aheadTokens, lengthShape);
+  function addStream(demand: MemoryDemand, stream: StreamOutlook): MemoryDemand {
+    const heldTokens = stream.promptTokens + stream.emittedTokens + demand.aheadTokens;
+    const runningProbability = survival(stream, demand.aheadTokens, lengthShape);
     return {
-      aheadTokens: need.aheadTokens,
-      most: need.most + held,
-      mean: need.mean + held * runs,
-      variance: need.variance + held * held * runs * (1 - runs),
+      aheadTokens: demand.aheadTokens,
+      maxTokens: demand.maxTokens + heldTokens,
+      meanTokens: demand.meanTokens + heldTokens * runningProbability,
+      variance:
+        demand.variance + heldTokens * heldTokens * runningProbability * (1 - runningProbability),
     };
   }
 
-  /** Shortly ahead hardly a stream has ended: a margin beyond all of them would leave a tenth of an engine empty. */
-  function neededTokens({ mean, variance, most }: Need): number {
-    return Math.min(most, mean + caution * Math.sqrt(variance));
+  /** At most the demand of all streams: a larger margin would leave a tenth of the memory unused in the near future. */
+  function neededTokens({ meanTokens, variance, maxTokens }: MemoryDemand): number {
+    return Math.min(maxTokens, meanTokens + marginDeviations * Math.sqrt(variance));
   }
 
-  function leastFree(all: readonly Need[]): number {
+  function minFreeTokens(all: readonly MemoryDemand[]): number {
     return freeNow - Math.max(0, ...all.map(neededTokens));
   }
 
-  function needsWith(stream: StreamOutlook): Need[] {
-    const before = needs ?? needsAhead(stream.medianOutputTokens);
-    return before.map((need) => addTo(need, stream));
+  function demandsWith(stream: StreamOutlook): MemoryDemand[] {
+    const current = demands ?? createDemands(stream.medianOutputTokens);
+    return current.map((demand) => addStream(demand, stream));
   }
 
   function add(stream: StreamOutlook): void {
-    needs = needsWith(stream);
+    demands = demandsWith(stream);
   }
 
   return {
-    freeTokens: () => leastFree(needs ?? []),
-    freeTokensWith: (stream) => leastFree(needsWith(stream)),
+    freeTokens: () => minFreeTokens(demands ?? []),
+    freeTokensWith: (stream) => minFreeTokens(demandsWith(stream)),
     add,
   };
 }
 
-function typicalTokens(streams: readonly StreamOutlook[]): number {
+function averageMedianTokens(streams: readonly StreamOutlook[]): number {
   const sum = streams.reduce((total, { medianOutputTokens }) => total + medianOutputTokens, 0);
   return sum / streams.length;
 }
 
-function needsAhead(typical: number): Need[] {
-  return horizons.map((part) => ({ aheadTokens: part * typical, most: 0, mean: 0, variance: 0 }));
+function createDemands(medianTokens: number): MemoryDemand[] {
+  return horizonFractions.map((fraction) => ({
+    aheadTokens: fraction * medianTokens,
+    maxTokens: 0,
+    meanTokens: 0,
+    variance: 0,
+  }));
 }
 
 /**
- * Probability that a stream that has come this far emits so many more tokens. Lengths are taken as log-logistic, which
- * is close to the log-normal that lengths follow, needs no table, and lets a stream that has outlived its median be
- * expected to go on for long.
+ * Probability that a stream still runs after `aheadTokens` more tokens. Lengths are modelled as log-logistic: this is
+ * close to their actual log-normal distribution, has a closed form, and expects a stream that has exceeded its median
+ * to continue for long.
  */
 export function survival(
   { emittedTokens, medianOutputTokens }: StreamOutlook,
--- a/packages/decisions/src/outputLengths.ts
+++ b/packages/decisions/src/outputLengths.ts
@@ -1,29 +1,31 @@
 /**
- * How long answers become, learned from those that ended, for each class of requests: the caller's hint is right in the
- * middle but often far off, so the answer lies between it and what is usual. A regression of logarithms finds how far
- * the hint can be trusted, and how widely answers scatter around what it says.
+ * Estimates output lengths from finished responses, for each class of requests. The hint, the output length that a
+ * caller announces, is about right in the median but often far off, so the estimate lies between it and the class's
+ * typical length. A log-log regression determines how much weight the hint gets, and how widely lengths scatter around
+ * the estimate.
  *
- * Answers callers that give no hints, or limits far above what they get: in 20 replayed bursts of such callers 4,957 of
- * 5,343 requests were served on time with this, 4,145 by their limits.
+ * Serves callers that send no hints, or limits far above the actual length. In 20 replayed bursts of such callers 4,957
+ * of 5,343 requests were served on time with these estimates, and 4,145 when their limits were used.
  *
- * Lengths are counted in events, which is all that a router sees; `createEventSize` tells what an event holds.
+ * Lengths are counted in events, because a router sees only events; `createEventSize` estimates the tokens per event.
  */
 import { createBoundedMap } from './boundedMap';
 
 export interface LengthEstimate {
-  /** Half of such answers have no more events. */
+  /** Median number of events. */
   medianEvents: number;
-  /** Standard deviation of the logarithm. */
+  /** Standard deviation of the logarithm of the length. */
   deviation: number;
 }
 
 export interface OutputLengths {
   observe(className: string, hintTokens: number | undefined, events: number): void;
-  /** Undefined until enough answers of the class have ended. */
+  /** Undefined until enough responses of the class have finished. */
   estimate(className: string, hintTokens: number | undefined): LengthEstimate | undefined;
 }
 
-interface Sums {
+/** Weighted sums of log hints (x) and log lengths (y). */
+interface RegressionSums {
   weight: number;
   x: number;
   y: number;
@@ -33,41 +35,41 @@
 }
 
 const maxClasses = 512;
-/** Answers before an estimate: fewer say less than the hint alone. */
-const leastAnswers = 8;
-/** Weight that older answers keep with each new one: some two hundred count. */
+/** Finished responses required for an estimate; with fewer the hint alone is more accurate. */
+const minSamples = 8;
+/** Factor by which older responses lose weight with each new one: about 200 of them count. */
 const decay = 0.995;
-/** Parameters of the line. */
-const fitted = 2;
-/** No two classes of answers scatter less; an estimate of few may. */
-const leastDeviation = 0.1;
+/** Parameters of the regression line: slope and intercept. */
+const fittedParameters = 2;
+/** Lengths of any class scatter at least this much; an estimate from few samples may be lower. */
+const minDeviation = 0.1;
 
 export function createOutputLengths(): OutputLengths {
-  /** With a hint and without one are two classes. */
-  const classes = createBoundedMap<string, Sums>({ maxEntries: maxClasses });
+  /** Requests with and without a hint are kept in separate classes. */
+  const classes = createBoundedMap<string, RegressionSums>({ maxEntries: maxClasses });
   const keyOf = (className: string, hintTokens: number | undefined) =>
     `${hintTokens === undefined ? '-' : '+'}${className}`;
   const logOf = (tokens: number | undefined) => Math.log(Math.max(1, tokens ?? 1));
 
   return {
     observe(className, hintTokens, events) {
-      const sums = classes.getOrCreate(keyOf(className, hintTokens), noSums);
-      addTo(sums, logOf(hintTokens), logOf(events));
+      const sums = classes.getOrCreate(keyOf(className, hintTokens), createSums);
+      addSample(sums, logOf(hintTokens), logOf(events));
     },
     estimate(className, hintTokens) {
       const sums = classes.get(keyOf(className, hintTokens));
-      return sums === undefined || sums.weight < leastAnswers
+      return sums === undefined || sums.weight < minSamples
         ? undefined
         : regress(sums, logOf(hintTokens));
     },
   };
 }
 
-function noSums(): Sums {
+function createSums(): RegressionSums {
   return { weight: 0, x: 0, y: 0, xx: 0, xy: 0, yy: 0 };
 }
 
-function addTo(sums: Sums, x: number, y: number): void {
+function addSample(sums: RegressionSums, x: number, y: number): void {
   sums.weight = sums.weight * decay + 1;
   sums.x = sums.x * decay + x;
   sums.y = sums.y * decay + y;
@@ -76,17 +78,18 @@
   sums.yy = sums.yy * decay + y * y;
 }
 
-function regress({ weight, x, y, xx, xy, yy }: Sums, at: number): LengthEstimate {
+function regress({ weight, x, y, xx, xy, yy }: RegressionSums, atX: number): LengthEstimate {
   const meanX = x / weight;
   const meanY = y / weight;
   const varianceX = Math.max(0, xx / weight - meanX ** 2);
   const varianceY = Math.max(0, yy / weight - meanY ** 2);
   const covariance = xy / weight - meanX * meanY;
   const slope = varianceX === 0 ? 0 : covariance / varianceX;
-  // Two of the answers have gone into the line itself.
-  const rest = (Math.max(0, varianceY - slope * covariance) * weight) / (weight - fitted);
+  // Unbiased estimate: the fitted parameters take up two degrees of freedom.
+  const residualVariance =
+    (Math.max(0, varianceY - slope * covariance) * weight) / (weight - fittedParameters);
   return {
-    medianEvents: Math.exp(meanY + slope * (at - meanX)),
-    deviation: Math.max(leastDeviation, Math.sqrt(rest)),
+    medianEvents: Math.exp(meanY + slope * (atX - meanX)),
+    deviation: Math.max(minDeviation, Math.sqrt(residualVariance)),
   };
 }
--- a/packages/decisions/src/phaseModel.ts
+++ b/packages/decisions/src/phaseModel.ts
@@ -1,6 +1,6 @@
 /**
- * What a service's finished requests teach about the phases before the first token: prefill time per
- * token, KV cache bytes per token, and how far predictions were off.
+ * Estimates, from a service's finished requests, the prefill time and the KV cache bytes per token, and
+ * the relative errors of earlier latency predictions.
  */
 import { createBoundedMap } from './boundedMap';
 import { createRunningEstimate } from './runningEstimate';
@@ -11,14 +11,14 @@
 } as const;
 export type PrefillPlace = (typeof prefillPlaces)[keyof typeof prefillPlaces];
 
-/** Learned figures of one service. */
+/** Estimates for one service. */
 export interface PhaseModel {
   /** Milliseconds per uncached prompt token. */
   prefillMsPerToken: Record<PrefillPlace, number>;
   kvBytesPerToken: number;
-  /** Scale of the document's weight on wasted prefill. */
+  /** Prefill size to which the service document's weight on wasted prefill refers. */
   averagePrefillTokens: number;
-  /** Standard deviation of (actual / predicted) time to the first token. */
+  /** Relative error of the predicted time to the first token: deviation of actual / predicted from 1. */
   firstTokenDeviation: number;
   /** The same for the time between tokens. */
   betweenTokensDeviation: number;
@@ -42,7 +42,7 @@
 
 export interface PhaseModelsOptions {
   maxServices?: number;
-  /** Assumed until requests have taught better. */
+  /** Assumed until the first requests of a service have finished. */
   initial?: PhaseModel;
 }
 
@@ -54,9 +54,9 @@
   betweenTokensDeviation: 0.2,
 };
 
-/** Never trusted to be exact: a deviation of nearly 0 would turn every small error into a refusal. */
+/** With a deviation close to 0, every small prediction error would lead to a refusal. */
 const minimumDeviation = 0.05;
-/** One absurd ratio, as after a paused process, must not spoil the spread for long. */
+/** Limits outliers, for example after a paused process, which would distort the deviation for long. */
 const maximumRatio = 5;
 
 export function createPhaseModels(options: PhaseModelsOptions = {}): PhaseModels {
@@ -82,8 +82,8 @@
 type RunningEstimate = ReturnType<typeof createRunningEstimate>;
 
 function createServiceEstimates(initial: PhaseModel) {
-  const perToken = (place: PrefillPlace) =>
-    createRunningEstimate({ initialMean: initial.prefillMsPerToken[place] });
+  const perToken = (location: PrefillPlace) =>
+    createRunningEstimate({ initialMean: initial.prefillMsPerToken[location] });
   return {
     prefillMsPerToken: {
       [prefillPlaces.prefillWorker]: perToken(prefillPlaces.prefillWorker),
@@ -108,10 +108,10 @@
 }
 
 function observePrefill(estimates: ServiceEstimates, observation: PhaseObservation): void {
-  const { place, uncachedTokens, prefillMs, kvBytes, promptTokens } = observation;
+  const { place: location, uncachedTokens, prefillMs, kvBytes, promptTokens } = observation;
   estimates.prefillTokens.observe(promptTokens);
   if (uncachedTokens > 0) {
-    estimates.prefillMsPerToken[place].observe(prefillMs / uncachedTokens);
+    estimates.prefillMsPerToken[location].observe(prefillMs / uncachedTokens);
   }
   if (kvBytes !== undefined && promptTokens > 0) {
     estimates.kvBytesPerToken.observe(kvBytes / promptTokens);
@@ -132,12 +132,12 @@
     },
     kvBytesPerToken: estimates.kvBytesPerToken.mean(),
     averagePrefillTokens: estimates.prefillTokens.mean(),
-    firstTokenDeviation: spread(estimates.firstTokenRatio),
-    betweenTokensDeviation: spread(estimates.betweenTokensRatio),
+    firstTokenDeviation: relativeDeviation(estimates.firstTokenRatio),
+    betweenTokensDeviation: relativeDeviation(estimates.betweenTokensRatio),
   };
 }
 
-/** Root mean square distance from a perfect prediction: a constant bias counts as uncertainty. */
-function spread(ratio: RunningEstimate): number {
+/** Root mean square error of the ratio against 1, so that a constant bias counts as uncertainty. */
+function relativeDeviation(ratio: RunningEstimate): number {
   return Math.max(minimumDeviation, Math.hypot(ratio.deviation(), ratio.mean() - 1));
 }
--- a/packages/decisions/src/placementAdmission.ts
+++ b/packages/decisions/src/placementAdmission.ts
@@ -1,49 +1,50 @@
 /**
- * Whether a request that finds no place of its service should wait for one. Answers bursts: more requests come than streams end, so
- * those at the end of the line would wait until their target has passed and be refused then. They are refused as soon
- * as that can be told, with the time at which the line will have moved on.
+ * Decides whether a request that no server of its service has memory for should wait. In a burst requests arrive faster
+ * than streams end, so those at the end of the queue would wait until their target has passed and be refused then.
+ * Instead they are refused as soon as this is foreseeable, with the time after which the queue will have advanced.
  *
- * In 20 replayed bursts of 6,416 requests those that were refused had waited 563 ms instead of 2,401 ms; 5,855 instead of
- * 5,925 were served on time. With half the doubt it was 377 ms and 5,797.
+ * In 20 replayed bursts of 6,416 requests, those that were refused had waited 563 ms instead of 2,401 ms, and 5,855
+ * instead of 5,925 were served on time. With half of `maxWaitPerSlack` it was 377 ms and 5,797.
  */
 
 export interface WaitingRequest {
-  /** From now on; a place found later than this is too late for the request's target. */
+  /** Time from now until which the request must be placed to meet its target. */
   slackMs: number;
-  /** Waiting requests that go first. */
+  /** Number of waiting requests ahead of it. */
   aheadCount: number;
 }
 
 export interface RefusedRequest {
   aheadCount: number;
-  /** How long a request like it holds its memory. */
+  /** How long such a request holds its memory. */
   holdMs: number;
 }
 
 export type AdmissionDecision = { kind: 'wait' } | { kind: 'refuse' };
 
 export interface PlacementAdmission {
-  /** A request has found a place. */
+  /** Records that a request has been placed. */
   notePlaced(nowMs: number): void;
   decide(request: WaitingRequest, nowMs: number): AdmissionDecision;
-  /** When to come back; `random` in [0, 1) spreads callers that are refused together. */
+  /** Delay after which to retry, with random jitter for callers that are refused together. */
   retryAfterMs(refused: RefusedRequest, nowMs: number): number;
 }
 
 export interface PlacementAdmissionOptions {
+  /** Returns values in [0, 1). */
   random?: () => number;
 }
 
-/** Long against the time between two places, short against a burst. */
+/** Long compared with the time between two placements, short compared with a burst. */
 const windowMs = 1_500;
-/** Fewer places in that time tell nothing. */
-const leastPlaces = 3;
-/** Places come irregularly: a wait is given up where it is expected to last this many times the slack. */
-const doubt = 3;
-/** Sooner than this hardly a stream has ended; later than this callers have given up. */
-const retryAfter = { leastMs: 300, mostMs: 10_000 } as const;
-/** Callers that were refused together come back over this part of their time and as much again. */
-const spread = { least: 0.75, range: 0.75 } as const;
+/** With fewer placements in the window the queue's rate is unknown. */
+const minPlacements = 3;
+/** Placements are irregular, so a request is refused only if its expected wait exceeds this many times its slack. */
+const maxWaitPerSlack = 3;
+/** Before the minimum hardly any stream has ended; after the maximum callers have given up. */
+const retryBounds = { minMs: 300, maxMs: 10_000 } as const;
+/** Random factor of a retry delay, from `min` to `min + range`: spreads callers that were refused together. */
+const retryJitter = { min: 0.75, range: 0.75 } as const;
 
 export function createPlacementAdmission(
   options: PlacementAdmissionOptions = {},
@@ -51,37 +52,38 @@
   const { random = Math.random } = options;
   let placedAtMs: number[] = [];
 
-  function dropOld(nowMs: number): void {
+  function dropExpired(nowMs: number): void {
     placedAtMs = placedAtMs.filter((atMs) => atMs > nowMs - windowMs);
   }
 
-  /** Undefined where too few places have come free lately to tell. */
+  /** Undefined if there were too few placements in the window. */
   function expectedWaitMs(aheadCount: number, nowMs: number): number | undefined {
-    dropOld(nowMs);
-    return placedAtMs.length < leastPlaces
+    dropExpired(nowMs);
+    return placedAtMs.length < minPlacements
       ? undefined
       : ((aheadCount + 1) * windowMs) / placedAtMs.length;
   }
 
   /**
-   * Newcomers take what comes free while a burst lasts, so the line says too little: the memory that is full now has
-   * turned over once when the streams that hold it have ended. In 20 replayed bursts 36 of 6,416 callers were refused a
-   * second time, where the line alone sent 183 back too soon; 5,915 instead of 5,872 were served on time.
+   * During a burst new requests take the memory that is released, so the queue's rate alone gives too short a delay.
+   * Memory that is full now is available again once the streams that hold it have ended, after `holdMs`. In 20 replayed
+   * bursts of 6,416 requests 36 were refused a second time, instead of 183 with the queue's rate alone, and 5,915
+   * instead of 5,872 were served on time.
    */
   function retryAfterMs({ aheadCount, holdMs }: RefusedRequest, nowMs: number): number {
-    const lineMs = expectedWaitMs(aheadCount, nowMs) ?? windowMs;
-    const waitMs = Math.max(lineMs, holdMs, retryAfter.leastMs);
-    return Math.min(retryAfter.mostMs, waitMs) * (spread.least + spread.range * random());
+    const queueMs = expectedWaitMs(aheadCount, nowMs) ?? windowMs;
+    const waitMs = Math.max(queueMs, holdMs, retryBounds.minMs);
+    return Math.min(retryBounds.maxMs, waitMs) * (retryJitter.min + retryJitter.range * random());
   }
 
   return {
     notePlaced(nowMs) {
-      dropOld(nowMs);
+      dropExpired(nowMs);
       placedAtMs.push(nowMs);
     },
     decide({ slackMs, aheadCount }, nowMs) {
-      const isHopeless = (expectedWaitMs(aheadCount, nowMs) ?? 0) > doubt * slackMs;
-      return { kind: slackMs <= 0 || isHopeless ? 'refuse' : 'wait' };
+      const isTooLate = (expectedWaitMs(aheadCount, nowMs) ?? 0) > maxWaitPerSlack * slackMs;
+      return { kind: slackMs <= 0 || isTooLate ? 'refuse' : 'wait' };
     },
     retryAfterMs,
   };
--- a/packages/decisions/src/prefillBacklog.ts
+++ b/packages/decisions/src/prefillBacklog.ts
@@ -1,80 +1,81 @@
 /**
- * Prompts that an engine computes or will compute, for the wait of the next one. An engine computes one
- * prompt at a time, so that a prompt waits for all that came before it. Times are monotonic.
+ * Tracks the prompts that an engine computes or has queued, to predict how long the next one waits. An
+ * engine computes one prompt at a time, so a prompt waits for all those before it. Times are monotonic.
  */
 import { createRunningEstimate } from './runningEstimate';
 
 export interface PrefillBacklogOptions {
-  /** Assumed until a prompt has been computed. */
+  /** Assumed until the first prompt has been computed. */
   initialMsPerToken?: number;
 }
 
 export interface PrefillBacklog {
+  /** Adds a prompt that the engine is asked to compute. */
   begin(attemptId: string, uncachedTokens: number, nowMs: number): void;
-  /** The prompt is computed. */
+  /** Removes a prompt that has been computed, and learns from its duration. */
   finish(attemptId: string, nowMs: number): void;
-  /** The prompt was cancelled or failed; unknown attempts are ignored. */
+  /** Removes a prompt that was cancelled or failed; unknown attempts are ignored. */
   drop(attemptId: string): void;
-  /** Expected wait of a prompt that joins now. */
+  /** Expected wait of a prompt that is added now. */
   waitMs(nowMs: number): number;
   msPerToken(): number;
 }
 
-interface Entry {
+interface PendingPrompt {
   uncachedTokens: number;
   tokensAhead: number;
-  begunAtMs: number;
+  enqueuedAtMs: number;
 }
 
-/** Shorter work measures the round trip and the running step rather than the computation. */
+/** Smaller samples measure the round trip and the current step rather than the computation. */
 const minimumSampleTokens = 512;
 
 export function createPrefillBacklog(options: PrefillBacklogOptions = {}): PrefillBacklog {
   const { initialMsPerToken = 0.1 } = options;
-  const entries = new Map<string, Entry>();
-  const rate = createRunningEstimate({ initialMean: initialMsPerToken });
-  /** When the first entry's turn came. */
-  let turnAtMs = 0;
+  const pending = new Map<string, PendingPrompt>();
+  const msPerToken = createRunningEstimate({ initialMean: initialMsPerToken });
+  /** When the engine began to compute the first pending prompt. */
+  let headStartedAtMs = 0;
 
   const pendingTokens = () =>
-    [...entries.values()].reduce((total, { uncachedTokens }) => total + uncachedTokens, 0);
+    [...pending.values()].reduce((total, { uncachedTokens }) => total + uncachedTokens, 0);
 
   function begin(attemptId: string, uncachedTokens: number, nowMs: number): void {
-    if (entries.size === 0) {
-      turnAtMs = nowMs;
+    if (pending.size === 0) {
+      headStartedAtMs = nowMs;
     }
-    entries.set(attemptId, { uncachedTokens, tokensAhead: pendingTokens(), begunAtMs: nowMs });
+    pending.set(attemptId, { uncachedTokens, tokensAhead: pendingTokens(), enqueuedAtMs: nowMs });
   }
 
   function finish(attemptId: string, nowMs: number): void {
-    const entry = entries.get(attemptId);
-    if (entry === undefined) {
+    const prompt = pending.get(attemptId);
+    if (prompt === undefined) {
       return;
     }
-    entries.delete(attemptId);
-    turnAtMs = nowMs;
-    const tokens = entry.tokensAhead + entry.uncachedTokens;
+    pending.delete(attemptId);
+    headStartedAtMs = nowMs;
+    const tokens = prompt.tokensAhead + prompt.uncachedTokens;
     if (tokens >= minimumSampleTokens) {
-      rate.observe((nowMs - entry.begunAtMs) / tokens);
+      msPerToken.observe((nowMs - prompt.enqueuedAtMs) / tokens);
     }
   }
 
   function waitMs(nowMs: number): number {
-    const [first] = entries.values();
-    if (first === undefined) {
+    const [head] = pending.values();
+    if (head === undefined) {
       return 0;
     }
-    const doneMs = Math.min(nowMs - turnAtMs, first.uncachedTokens * rate.mean());
-    return Math.max(0, pendingTokens() * rate.mean() - doneMs);
+    const doneMs = Math.min(nowMs - headStartedAtMs, head.uncachedTokens * msPerToken.mean());
+    return Math.max(0, pendingTokens() * msPerToken.mean() - doneMs);
   }
 
   return {
     begin,
     finish,
     drop: (attemptId) => {
-      entries.delete(attemptId);
+      pending.delete(attemptId);
     },
     waitMs,
-    msPerToken: rate.mean,
+    msPerToken: msPerToken.mean,
   };
 }
--- a/packages/decisions/src/recentQuantile.ts
+++ b/packages/decisions/src/recentQuantile.ts
@@ -1,10 +1,10 @@
-/** A quantile of the newest samples of a quantity, computed on demand and kept for a short while. */
+/** A quantile over the newest samples, computed on demand and cached for a number of samples. */
 
 export interface RecentQuantileOptions {
   quantile: number;
-  /** Newest samples kept. */
+  /** Number of newest samples kept. */
   sampleCount?: number;
-  /** Samples between two computations. */
+  /** Number of new samples after which the quantile is computed again. */
   refreshEvery?: number;
 }
 
@@ -19,7 +19,7 @@
   const ring = new Float64Array(sampleCount);
   let seenCount = 0;
   let computedAtCount = 0;
-  let computed = 0;
+  let cachedValue = 0;
 
   function compute(): number {
     const sorted = ring.slice(0, Math.min(seenCount, sampleCount)).sort();
@@ -33,10 +33,10 @@
     },
     value: () => {
       if (computedAtCount === 0 || seenCount - computedAtCount >= refreshEvery) {
-        computed = compute();
+        cachedValue = compute();
         computedAtCount = seenCount;
       }
-      return computed;
+      return cachedValue;
     },
   };
 }
--- a/packages/decisions/src/runningEstimate.ts
+++ b/packages/decisions/src/runningEstimate.ts
@@ -1,4 +1,4 @@
-/** Exponentially weighted mean and deviation of a measured quantity. */
+/** Exponentially weighted moving average and standard deviation of a measured quantity. */
 
 export interface RunningEstimateOptions {
   /** Weight of a new sample, in (0, 1]. */
@@ -26,7 +26,7 @@
       return;
     }
     sampleCount += 1;
-    // Early samples count as in a plain average, so that a poor initial mean is left quickly.
+    // Early samples count as in a plain average, so that a poor initial mean loses its influence quickly.
     const weight = Math.max(smoothing, 1 / (sampleCount + 1));
     const difference = sample - mean;
     mean += weight * difference;
