--- a/packages/routing/__tests__/attemptBudget.test.ts
+++ b/packages/routing/__tests__/attemptBudget.test.ts
@@ -38,8 +38,8 @@
   t.true(budget.tryTake('a', 1_000));
 });
 
-test('what has arrived unasked is counted too, and leaves less for what is asked', (t) => {
-  // A server that is another's by now is called once by each request before any budget is asked.
+test('charged calls count against the budget of later attempts', (t) => {
+  // A request's first call is made without taking an attempt, also where the address belongs to another server by now.
   const budget = createAttemptBudget({ ratio: 0, allowance: () => 2, windowMs: 1_000 });
   budget.charge('a', 0);
   budget.charge('a', 0);
--- a/packages/routing/__tests__/engineLoads.test.ts
+++ b/packages/routing/__tests__/engineLoads.test.ts
@@ -15,8 +15,8 @@
   runs: [],
 });
 
-/** A stream that holds so much memory and takes no more. */
-const still = (tokens: number) => ({
+/** A stream that holds this much memory and does not grow. */
+const fixedSizeStream = (tokens: number) => ({
   promptTokens: tokens,
   emittedTokens: 0,
   medianOutputTokens: 0,
@@ -25,21 +25,21 @@
 const freeTokens = (loads: EngineLoads, capacityTokens: number) =>
   loads.forecast('e', capacityTokens).freeTokens();
 
-const use = (over: Record<string, unknown>) => ({
+const peerUse = (overrides: Record<string, unknown>) => ({
   serverId: 'e',
   streams: [],
   prefillTokens: 0,
   ownPrompts: 0,
   isSilent: false,
-  ...over,
+  ...overrides,
 });
 
-test.serial('what was placed since a report is added to it', (t) => {
+test.serial('streams placed since the last report are added to it', (t) => {
   const clock = FakeTimers.install({ toFake: ['performance'] });
   try {
     const loads = createEngineLoads();
     t.is(freeTokens(loads, 8_000), 8_000);
-    const { release } = loads.place('e', still(3_000));
+    const { release } = loads.place('e', fixedSizeStream(3_000));
     loads.report('e', report(0));
     t.is(freeTokens(loads, 8_000), 7_000);
     clock.tick(2_000);
@@ -53,27 +53,27 @@
   }
 });
 
-test('peers’ work counts, and is forgotten with the peer', (t) => {
+test('peers’ work is counted until the peer is dropped', (t) => {
   const loads = createEngineLoads();
   loads.setPeerUse(
     'p',
-    [use({ streams: [still(4_000)], prefillTokens: 700, ownPrompts: 1 })],
+    [peerUse({ streams: [fixedSizeStream(4_000)], prefillTokens: 700, ownPrompts: 1 })],
     true,
   );
   t.is(freeTokens(loads, 10_000), 6_000);
   t.is(loads.prefillBacklogTokens('e'), 700);
-  t.is(loads.ownPrompts('e'), 1);
-  loads.setPeerUse('p', [use({ streams: [still(1_000)] })], false);
+  t.is(loads.localPrefillCount('e'), 1);
+  loads.setPeerUse('p', [peerUse({ streams: [fixedSizeStream(1_000)] })], false);
   t.is(freeTokens(loads, 10_000), 9_000);
   t.is(loads.prefillBacklogTokens('e'), 0);
   loads.setPeerUse('p', [], true);
   t.is(freeTokens(loads, 10_000), 10_000);
-  loads.setPeerUse('p', [use({ streams: [still(4_000)] })], true);
+  loads.setPeerUse('p', [peerUse({ streams: [fixedSizeStream(4_000)] })], true);
   loads.dropPeer('p');
   t.is(freeTokens(loads, 10_000), 10_000);
 });
 
-test.serial('a refusal counts for a moment', (t) => {
+test.serial('a rejection is remembered for a short time', (t) => {
   const clock = FakeTimers.install({ toFake: ['performance'] });
   try {
     const loads = createEngineLoads();
@@ -88,23 +88,23 @@
 });
 
 test.serial(
-  'an engine is silent by the word of who asked it, unless it has just answered us',
+  'an engine that a peer reports as unresponsive counts as such unless it has just answered this router',
   (t) => {
     const clock = FakeTimers.install({ toFake: ['performance'] });
     try {
       const loads = createEngineLoads();
-      loads.setPeerUse('p', [use({ isSilent: true })], false);
-      t.true(loads.isSilent('e'));
+      loads.setPeerUse('p', [peerUse({ isSilent: true })], false);
+      t.true(loads.isUnresponsive('e'));
       loads.noteContact('e');
-      t.false(loads.isSilent('e'));
+      t.false(loads.isUnresponsive('e'));
       clock.tick(1_000);
-      t.true(loads.isSilent('e'));
+      t.true(loads.isUnresponsive('e'));
       loads.setPeerUse('p', [], true);
-      t.false(loads.isSilent('e'));
-      loads.noteSilent('e');
-      t.true(loads.isSilent('e'));
+      t.false(loads.isUnresponsive('e'));
+      loads.noteUnresponsive('e');
+      t.true(loads.isUnresponsive('e'));
       loads.report('e', report(0));
-      t.false(loads.isSilent('e'));
+      t.false(loads.isUnresponsive('e'));
     } finally {
       clock.uninstall();
     }
--- a/packages/routing/__tests__/requestState.test.ts
+++ b/packages/routing/__tests__/requestState.test.ts
@@ -1,7 +1,7 @@
 import FakeTimers from '@sinonjs/fake-timers';
 import test from 'ava';
 import type { CallerExchange } from '../src/callerApi';
-import { createRequestState, lostRefusal } from '../src/requestState';
+import { createRequestState, createLostRefusal } from '../src/requestState';
 import { routeKinds, type CallerRequest, type Route } from '../src/model';
 
 const route: Route = {
@@ -18,7 +18,7 @@
   targets: [],
 };
 
-function stateAt(afterMs: number) {
+function refusalAfter(afterMs: number) {
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] });
   const request = { id: 'r1', arrivedAtMs: 0, deadlineAtMs: 10_000 } as CallerRequest;
   const exchange = { request, signal: new AbortController().signal } as CallerExchange;
@@ -26,19 +26,19 @@
   const { state, end } = createRequestState({ exchange, route, service });
   clock.setSystemTime(0);
   clock.tick(afterMs);
-  const refusal = lostRefusal(state, 'reset');
+  const refusal = createLostRefusal(state, 'reset');
   end();
   clock.uninstall();
   return refusal;
 }
 
-test('an answer that is lost at the route’s time-out is a time-out, whichever timer fires first', (t) => {
-  // The caller of a server that hangs would be told that the answer was lost. The call's own time-out ends at the same
-  // moment as the request's, and may fire a moment before it.
-  t.deepEqual(stateAt(299), { kind: 'timed-out' });
-  t.deepEqual(stateAt(300), { kind: 'timed-out' });
+test('an answer lost at the route’s time-out is reported as a time-out, whichever timer fires first', (t) => {
+  // Otherwise the caller of a server that hangs would be told of a lost answer: the call's own time-out ends at the
+  // same moment as the request's and may fire slightly earlier.
+  t.deepEqual(refusalAfter(299), { kind: 'timed-out' });
+  t.deepEqual(refusalAfter(300), { kind: 'timed-out' });
 });
 
-test('an answer that is lost before is lost', (t) => {
-  t.deepEqual(stateAt(200), { kind: 'answer-lost', detail: 'reset' });
+test('an answer lost before the time-out is reported as lost', (t) => {
+  t.deepEqual(refusalAfter(200), { kind: 'answer-lost', detail: 'reset' });
 });
--- a/packages/routing/__tests__/routeTable.test.ts
+++ b/packages/routing/__tests__/routeTable.test.ts
@@ -2,7 +2,7 @@
 import { createRouteTable, type Configuration, type Route } from '@bluebellhitch/routing';
 import { chooseTarget } from '../src/routeTable';
 
-const route = (over: Partial<Route>): Route => ({
+const route = (overrides: Partial<Route>): Route => ({
   name: 'r',
   host: 'a.example',
   pathPrefix: '/',
@@ -14,7 +14,7 @@
   maxAttempts: 1,
   allowsResume: false,
   targets: [{ serviceName: 's', weight: 1 }],
-  ...over,
+  ...overrides,
 });
 
 const configuration = (routes: Route[]): Configuration => ({
--- a/packages/routing/__tests__/stageKeeper.test.ts
+++ b/packages/routing/__tests__/stageKeeper.test.ts
@@ -11,14 +11,13 @@
 } from '@bluebellhitch/routing';
 import { createLogger } from '@bluebellhitch/telemetry';
 
-interface World {
+interface Fixture {
   fencingNumber: number;
-  /** Another process holds the lease. */
   isHeldByOther: boolean;
-  /** This process is one of the few that order. */
+  /** This process may try to acquire the lease. */
   mayContend: boolean;
-  /** Each a call of the store. */
-  leaseLooks: number;
+  /** Each one is a request to the object store. */
+  leaseCalls: number;
   orders: { serverId: string; atMs: number; order: StageOrder }[];
   isLeaseHeld: boolean;
 }
@@ -34,45 +33,45 @@
   stage,
 });
 
-function leaseOf(world: World): DutyLease {
+function createLeaseFor(fixture: Fixture): DutyLease {
   const fencing = (): HeldFencing => {
-    const { fencingNumber } = world;
+    const { fencingNumber } = fixture;
     return { fencingNumber, validForMs: 1_000, isFirst: fencingNumber === 1 };
   };
   const held = (): Result<HeldFencing, DutyLeaseError> => {
-    if (world.isHeldByOther) {
+    if (fixture.isHeldByOther) {
       return err({ kind: 'held-by-other', holderId: 'x' });
     }
-    world.isLeaseHeld = true;
+    fixture.isLeaseHeld = true;
     return ok(fencing());
   };
   return {
     acquireOrRenew: async () => {
-      world.leaseLooks += 1;
+      fixture.leaseCalls += 1;
       return held();
     },
     release: async () => {
-      world.isLeaseHeld = false;
+      fixture.isLeaseHeld = false;
       return ok(undefined);
     },
-    heldFencing: () => (world.isLeaseHeld ? fencing() : undefined),
+    heldFencing: () => (fixture.isLeaseHeld ? fencing() : undefined),
     start: () => undefined,
     stop: async () => undefined,
   } as unknown as DutyLease;
 }
 
-async function keep(world: World, initial: Stage[], forMs: number): Promise<void> {
+async function runBalancer(fixture: Fixture, initial: Stage[], forMs: number): Promise<void> {
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] });
   try {
     const directory = createServerDirectory();
     initial.forEach((stage, index) => directory.put(engine(`e${index}`, stage)));
     const load = { stage: 'decode', isBusyWithOrder: false, orderCount: 7 };
-    const keeper = createStageKeeper({
+    const balancer = createStageKeeper({
       directory,
       backend: {
         readLoad: async () => ({ kind: 'done', value: load as never }),
         orderStage: async ({ id }, order) => {
-          world.orders.push({ serverId: id, atMs: clock.now, order });
+          fixture.orders.push({ serverId: id, atMs: clock.now, order });
           return { kind: 'done', value: 'accepted' };
         },
       },
@@ -87,17 +86,17 @@
           },
         },
       ],
-      createLease: () => leaseOf(world),
-      mayContend: () => world.mayContend,
+      createLease: () => createLeaseFor(fixture),
+      mayContend: () => fixture.mayContend,
       holderId: 'front-1',
       leaseMs: 3_000,
       prefillShare: () => 0.2,
       logger: createLogger({ binary: 'test', instanceId: 't', write: () => undefined }),
       random: () => 0.5,
     });
-    keeper.start();
+    balancer.start();
     await clock.tickAsync(forMs);
-    const stopped = keeper.stop();
+    const stopped = balancer.stop();
     await clock.tickAsync(2_000);
     await stopped;
   } finally {
@@ -105,71 +104,74 @@
   }
 }
 
-const createWorld = (over: Partial<World> = {}): World => ({
+const createFixture = (overrides: Partial<Fixture> = {}): Fixture => ({
   fencingNumber: 1,
   isHeldByOther: false,
   mayContend: true,
-  leaseLooks: 0,
+  leaseCalls: 0,
   orders: [],
   isLeaseHeld: false,
-  ...over,
+  ...overrides,
 });
 
-const fivePrefill: Stage[] = ['prefill', 'prefill', 'prefill', 'decode', 'decode'];
+const threePrefillOfFive: Stage[] = ['prefill', 'prefill', 'prefill', 'decode', 'decode'];
 
 test.serial(
-  'the holder orders one change at a time, each once, and says how many it expects',
+  'the lease holder orders one change at a time, each once, with the expected order count',
   async (t) => {
-    const world = createWorld();
-    await keep(world, fivePrefill, 5_000);
-    t.is(world.orders.length, 2);
-    t.is(new Set(world.orders.map(({ serverId }) => serverId)).size, 2);
-    t.deepEqual(world.orders[0]?.order, {
+    const fixture = createFixture();
+    await runBalancer(fixture, threePrefillOfFive, 5_000);
+    t.is(fixture.orders.length, 2);
+    t.is(new Set(fixture.orders.map(({ serverId }) => serverId)).size, 2);
+    t.deepEqual(fixture.orders[0]?.order, {
       stage: 'decode',
       holderId: 'front-1',
       fencingNumber: 1,
       expectedOrderCount: 7,
     });
-    t.false(world.isLeaseHeld);
+    t.false(fixture.isLeaseHeld);
   },
 );
 
-test.serial('a process without the lease orders nothing', async (t) => {
-  const world = createWorld({ isHeldByOther: true });
-  await keep(world, fivePrefill, 10_000);
-  t.deepEqual(world.orders, []);
+test.serial('a process without the lease sends no orders', async (t) => {
+  const fixture = createFixture({ isHeldByOther: true });
+  await runBalancer(fixture, threePrefillOfFive, 10_000);
+  t.deepEqual(fixture.orders, []);
 });
 
 test.serial(
-  'a holder after another waits until that one’s last order must have arrived',
+  'a new lease holder waits until the previous holder’s last order must have arrived',
   async (t) => {
-    // Two holders' orders would reach one engine by turns. The holder before may have sent an order just before
-    // its lease ended; engines here do not check fencing numbers.
-    const world = createWorld({ fencingNumber: 2 });
-    await keep(world, fivePrefill, 3_900);
-    t.deepEqual(world.orders, []);
-    await keep(world, fivePrefill, 8_000);
-    t.true((world.orders[0]?.atMs ?? 0) >= 3_000);
+    // Otherwise an engine could receive the orders of two holders interleaved. The previous holder may have sent an
+    // order just before its lease expired, and engines here do not check fencing numbers.
+    const fixture = createFixture({ fencingNumber: 2 });
+    await runBalancer(fixture, threePrefillOfFive, 3_900);
+    t.deepEqual(fixture.orders, []);
+    await runBalancer(fixture, threePrefillOfFive, 8_000);
+    t.true((fixture.orders[0]?.atMs ?? 0) >= 3_000);
   },
 );
 
-test.serial('engines that are divided well need no lease', async (t) => {
-  const world = createWorld();
-  await keep(world, ['prefill', 'decode', 'decode', 'decode', 'decode'], 5_000);
-  t.deepEqual(world.orders, []);
-  t.false(world.isLeaseHeld);
+test.serial('no lease is acquired while the engines are balanced', async (t) => {
+  const fixture = createFixture();
+  await runBalancer(fixture, ['prefill', 'decode', 'decode', 'decode', 'decode'], 5_000);
+  t.deepEqual(fixture.orders, []);
+  t.false(fixture.isLeaseHeld);
 });
 
-test.serial('a process that is none of the few that order makes no call for it', async (t) => {
-  // The store would be asked by every process of a fleet each 400 ms for as long as one engine has to change.
-  const world = createWorld({ mayContend: false });
-  await keep(world, fivePrefill, 20_000);
-  t.is(world.leaseLooks, 0);
-  t.deepEqual(world.orders, []);
+test.serial('a process that may not contend for the lease sends no request for it', async (t) => {
+  // Otherwise every process of a fleet would query the store every 400 ms as long as one engine has to change.
+  const fixture = createFixture({ mayContend: false });
+  await runBalancer(fixture, threePrefillOfFive, 20_000);
+  t.is(fixture.leaseCalls, 0);
+  t.deepEqual(fixture.orders, []);
 });
 
-test.serial('a lease that another holds is looked at no sooner than it may lapse', async (t) => {
-  const world = createWorld({ isHeldByOther: true });
-  await keep(world, fivePrefill, 20_000);
-  t.true(world.leaseLooks >= 4 && world.leaseLooks <= 10, `${world.leaseLooks} looks`);
-});
+test.serial(
+  'a lease that another process holds is not requested again before it may have expired',
+  async (t) => {
+    const fixture = createFixture({ isHeldByOther: true });
+    await runBalancer(fixture, threePrefillOfFive, 20_000);
+    t.true(fixture.leaseCalls >= 4 && fixture.leaseCalls <= 10, `${fixture.leaseCalls} calls`);
+  },
+);
--- a/packages/routing/__tests__/stagePlan.test.ts
+++ b/packages/routing/__tests__/stagePlan.test.ts
@@ -13,7 +13,7 @@
   stage,
 });
 
-test('changes lead to the wanted ratio one by one, end there, and keep both stages', (t) => {
+test('changes terminate and keep at least one engine at each stage', (t) => {
   const stage = fc.constantFrom<Stage>('prefill', 'decode');
   fc.assert(
     fc.property(
@@ -36,14 +36,14 @@
   );
 });
 
-test('a single engine keeps its stage unless it only reads prompts', (t) => {
+test('a single engine is changed to decode, never to prefill', (t) => {
   const plan = (stage: Stage) =>
     planStageChange({ engines: [engine(1, stage)], pending: new Map(), prefillShare: 0.2 });
   t.is(plan('decode'), undefined);
   t.is(plan('prefill')?.stage, 'decode');
 });
 
-test('the data centre with the most prefill engines gives one up', (t) => {
+test('the data centre with the most prefill engines loses one first', (t) => {
   const engines = [engine(0, 'prefill'), engine(3, 'prefill'), engine(1, 'prefill')];
   const decode = [2, 4, 5, 6, 7, 8, 9].map((id) => engine(id, 'decode'));
   const change = planStageChange({
--- a/packages/routing/src/attemptBudget.ts
+++ b/packages/routing/src/attemptBudget.ts
@@ -1,31 +1,31 @@
 /**
- * How many further attempts a service may get: a share of its requests in a sliding window and a small
- * allowance. Each process counts its own requests and takes its own share of the allowance, so that all
- * together stay inside the bound whatever the others do.
+ * Limits the further attempts (retries and resumptions) of a service to a share of its requests in a sliding window
+ * plus a small allowance. Each process counts only its own requests and has its own share of the allowance, so that
+ * all processes together stay within the limit whatever the others do.
  */
 import { createBoundedMap } from '@bluebellhitch/decisions';
 
 export interface AttemptBudgetOptions {
-  /** Further attempts for each request of the window. */
+  /** Further attempts per request in the window. */
   ratio: number;
-  /** Further attempts in a window besides, of this process: its share at this time. */
+  /** Additional further attempts per window: this process's current share of the allowance. */
   allowance: () => number;
   windowMs: number;
 }
 
 export interface AttemptBudget {
   recordRequest(serviceName: string, nowMs: number): void;
-  /** Takes one further attempt out of the budget; false where none is left. */
+  /** Takes one further attempt from the budget; false if none is left. */
   tryTake(serviceName: string, nowMs: number): boolean;
-  /** Whether one is left: a first call that may be turned away takes one without asking. */
-  hasLeft(serviceName: string, nowMs: number): boolean;
-  /** Counts one that has arrived although it was not asked for: a first call that was turned away. */
+  /** Whether a further attempt is left; checked before a first call, which is charged only if it fails. */
+  hasRemaining(serviceName: string, nowMs: number): boolean;
+  /** Charges a call that was made without `tryTake`: a first call that was lost or rejected. */
   charge(serviceName: string, nowMs: number): void;
 }
 
 interface ServiceWindow {
   requestsAtMs: number[];
-  furtherAtMs: number[];
+  attemptsAtMs: number[];
 }
 
 const maxServices = 512;
@@ -34,32 +34,32 @@
   const { ratio, allowance, windowMs } = options;
   const windows = createBoundedMap<string, ServiceWindow>({ maxEntries: maxServices });
 
-  function current(serviceName: string, nowMs: number): ServiceWindow {
-    const window = windows.getOrCreate(serviceName, () => ({ requestsAtMs: [], furtherAtMs: [] }));
+  function currentWindow(serviceName: string, nowMs: number): ServiceWindow {
+    const window = windows.getOrCreate(serviceName, () => ({ requestsAtMs: [], attemptsAtMs: [] }));
     dropOlder(window.requestsAtMs, nowMs - windowMs);
-    dropOlder(window.furtherAtMs, nowMs - windowMs);
+    dropOlder(window.attemptsAtMs, nowMs - windowMs);
     return window;
   }
 
-  function isLeftIn({ requestsAtMs, furtherAtMs }: ServiceWindow): boolean {
-    return furtherAtMs.length + 1 <= requestsAtMs.length * ratio + allowance();
+  function hasRemainingIn({ requestsAtMs, attemptsAtMs }: ServiceWindow): boolean {
+    return attemptsAtMs.length + 1 <= requestsAtMs.length * ratio + allowance();
   }
 
   return {
     recordRequest(serviceName, nowMs) {
-      current(serviceName, nowMs).requestsAtMs.push(nowMs);
+      currentWindow(serviceName, nowMs).requestsAtMs.push(nowMs);
     },
     tryTake(serviceName, nowMs) {
-      const window = current(serviceName, nowMs);
-      const isAllowed = isLeftIn(window);
+      const window = currentWindow(serviceName, nowMs);
+      const isAllowed = hasRemainingIn(window);
       if (isAllowed) {
-        window.furtherAtMs.push(nowMs);
+        window.attemptsAtMs.push(nowMs);
       }
       return isAllowed;
     },
-    hasLeft: (serviceName, nowMs) => isLeftIn(current(serviceName, nowMs)),
+    hasRemaining: (serviceName, nowMs) => hasRemainingIn(currentWindow(serviceName, nowMs)),
     charge(serviceName, nowMs) {
-      current(serviceName, nowMs).furtherAtMs.push(nowMs);
+      currentWindow(serviceName, nowMs).attemptsAtMs.push(nowMs);
     },
   };
 }
--- a/packages/routing/src/decodePlacement.ts
+++ b/packages/routing/src/decodePlacement.ts
@@ -1,7 +1,7 @@
 /**
- * Finds each model request the memory that its answer needs, before its prompt is read: a prefill without
- * a place to decode is wasted, and decode memory is what runs out first. Requests that find none wait in
- * order until a stream ends or their time is over.
+ * Reserves decode memory for a model request before its prompt is prefilled: a prefill without decode memory is
+ * wasted, and decode memory is the first resource to run out. Requests that cannot be placed wait in a priority queue
+ * until memory is released or their time is up.
  */
 import {
   createBoundedMap,
@@ -15,7 +15,7 @@
 import type { EngineLoads, PlacedStream } from './engineLoads';
 import type { ServerPools } from './fleetPart';
 import { stages, type BackendServer, type EngineSettings } from './model';
-import { hasHeadroom, tightestPlace, type Place } from './placementChoice';
+import { hasHeadroom, chooseBestFit, type PlacementCandidate } from './placementChoice';
 import { noLimits, type ServerPermits } from './serverLimits';
 import { noWords, type ServerWords } from './serverWords';
 
@@ -23,34 +23,36 @@
   serviceName: string;
   engine: EngineSettings;
   stream: StreamOutlook;
-  /** What the engine is asked to set aside. */
+  /** Tokens to reserve on the engine. */
   reservedTokens: number;
-  /** It has begun already: breaking it off loses the work done, so it goes first. */
+  /** The stream has already started. It goes first, since dropping it would waste the work done so far. */
   isResumed: boolean;
   /** 0 is the most urgent. */
   priority: number;
   arrivedAtMs: number;
-  /** How long it is expected to hold its memory. */
-  holdMs: number;
-  /** Placed later than this it misses its target: it goes after those that can still meet theirs. */
-  onTimeUntilMs: number;
-  giveUpAtMs: number;
-  /** Servers that have failed the request. */
+  expectedHoldMs: number;
+  /**
+   * Latest start that meets the latency target. After it, the request is queued behind those that can still meet
+   * their targets.
+   */
+  latestStartAtMs: number;
+  expiresAtMs: number;
+  /** Servers that have already failed this request. */
   excludedIds: ReadonlySet<string>;
-  /** The server to take if it has room. */
+  /** The server to use if it has enough memory. */
   preferredId?: string;
   signal: AbortSignal;
 }
 
 export interface Placement {
   reservation: Reservation;
-  /** To be told of its progress, and released once the memory is free again. */
+  /** Update it as tokens are emitted, and release it once the memory is free again. */
   stream: PlacedStream;
 }
 
 export type PlacementOutcome =
   | { kind: 'placed'; placement: Placement }
-  /** Nothing has run. */
+  /** The request has not run anywhere. */
   | { kind: 'no-capacity'; retryAfterMs: number };
 
 export interface DecodePlacement {
@@ -68,34 +70,34 @@
 }
 
 interface Waiter extends PlacementRequest {
-  isTrying: boolean;
+  isReserving: boolean;
   failedIds: Set<string>;
-  /** Spare servers are unknown here: asking them takes the place of knowing. */
-  nextSpareAtMs: number;
+  /** When to try spare servers again. Their load is unknown here, so only an attempt shows whether they have room. */
+  nextSpareAttemptAtMs: number;
   resolve(outcome: PlacementOutcome): void;
 }
 
-/** Between looks at the pool while requests wait; others' streams end without a word to us. */
-const lookAgainMs = 30;
-/** An engine answers within a few milliseconds; one that does not is taken for gone. */
+/** Retry interval while requests wait: other routers' streams end without notifying this one. */
+const retryIntervalMs = 30;
+/** An engine answers within a few milliseconds; one that does not is considered down. */
 const reserveTimeoutMs = 500;
 const maxServices = 512;
-/** The reservation and the run: an engine in need counts what it is asked, not what it runs. */
+/** The reservation and the run: an overloaded engine limits the calls that it receives, not the runs. */
 const callsPerPlacement = 2;
-/** With fewer of the own part's engines left than this, others' are worth asking without knowledge of them. */
-const soundShare = 0.5;
-/** Callers that were refused until one moment come back apart. */
-const returnSpreadMs = 300;
-/** Between two tries of one request at spare servers, so that a full fleet is not asked all the time. */
-const spareRetryMs = 100;
+/** Below this share of healthy engines in its own shard, a router tries spare engines whose load it does not know. */
+const minHealthyShare = 0.5;
+/** Spreads the retries of callers that were told to wait for the same moment. */
+const retryAfterJitterMs = 300;
+/** Between two attempts of one request at spare servers, so that a full fleet is not queried continuously. */
+const spareRetryIntervalMs = 100;
 
-/** The pools of one look, by service and kind: they are the same for all that wait. */
-type PlacesOf = (waiter: Waiter, kind: 'usable' | 'spare') => readonly Place[];
+/** Candidates by service and pool, computed once for each pass over the waiting requests. */
+type CandidatesOf = (waiter: Waiter, kind: 'usable' | 'spare') => readonly PlacementCandidate[];
 
 export function createDecodePlacement(options: DecodePlacementOptions): DecodePlacement {
   const { backend, pools, loads, health, random = Math.random } = options;
   const { limits = noLimits, words = noWords } = options;
-  /** By service: each has its own engines, and so its own line. */
+  /** By service: each has its own engines and therefore its own queue. */
   const admissions = createBoundedMap<string, PlacementAdmission>({ maxEntries: maxServices });
   const waiters = new Set<Waiter>();
   let timer: NodeJS.Timeout | undefined;
@@ -104,15 +106,15 @@
     return new Promise((resolve) => {
       const waiter: Waiter = {
         ...request,
-        isTrying: false,
+        isReserving: false,
         failedIds: new Set(),
-        nextSpareAtMs: -Infinity,
+        nextSpareAttemptAtMs: -Infinity,
         resolve,
       };
       waiters.add(waiter);
       request.signal.addEventListener('abort', () => refuse(waiter), { once: true });
-      look();
-      refuseIfHopeless(waiter);
+      tryWaiters();
+      refuseIfTooLate(waiter);
     });
   }
 
@@ -127,101 +129,108 @@
   }
 
   function refuse(waiter: Waiter): void {
-    // Callers also leave long after they were placed.
+    // The abort signal may also fire long after the request was placed.
     if (!waiters.has(waiter)) {
       return;
     }
-    const refused = { aheadCount: aheadOf(waiter), holdMs: waiter.holdMs };
-    const retryAfterMs = admissionOf(waiter).retryAfterMs(refused, monotonicNowMs());
+    const refusedRequest = { aheadCount: countAhead(waiter), holdMs: waiter.expectedHoldMs };
+    const retryAfterMs = admissionOf(waiter).retryAfterMs(refusedRequest, monotonicNowMs());
     finish(waiter, { kind: 'no-capacity', retryAfterMs });
   }
 
-  /** A new request that will not be served in time learns it now. One that has begun already stays in any case. */
-  function refuseIfHopeless(waiter: Waiter): void {
-    if (waiter.isTrying || waiter.isResumed || !waiters.has(waiter)) {
+  /** Refuses a new request at once if it cannot be served in time. A resumed stream keeps waiting in any case. */
+  function refuseIfTooLate(waiter: Waiter): void {
+    if (waiter.isReserving || waiter.isResumed || !waiters.has(waiter)) {
       return;
     }
     const nowMs = monotonicNowMs();
-    const slackMs = waiter.onTimeUntilMs - nowMs;
-    const decision = admissionOf(waiter).decide({ slackMs, aheadCount: aheadOf(waiter) }, nowMs);
+    const slackMs = waiter.latestStartAtMs - nowMs;
+    const decision = admissionOf(waiter).decide({ slackMs, aheadCount: countAhead(waiter) }, nowMs);
     if (decision.kind === 'refuse') {
       refuse(waiter);
     }
   }
 
-  /** By their own words no engine takes anything in the request's time. */
-  function refuseIfClosed(waiter: Waiter, nowMs: number): boolean {
-    const restMs = words.closedForMs(waiter.serviceName, stages.decode);
-    if (restMs !== undefined && nowMs + restMs >= waiter.giveUpAtMs) {
-      finish(waiter, { kind: 'no-capacity', retryAfterMs: restMs + returnSpreadMs * random() });
+  /** Refuses the request if, by the engines' own notices, none of them will accept work before it expires. */
+  function refuseIfNoneAccepting(waiter: Waiter, nowMs: number): boolean {
+    const backoffMs = words.closedForMs(waiter.serviceName, stages.decode);
+    if (backoffMs !== undefined && nowMs + backoffMs >= waiter.expiresAtMs) {
+      finish(waiter, {
+        kind: 'no-capacity',
+        retryAfterMs: backoffMs + retryAfterJitterMs * random(),
+      });
     } else if (words.isLeft(waiter.serviceName)) {
       refuse(waiter);
     }
     return !waiters.has(waiter);
   }
 
-  /** In the order in which they are tried. */
-  function inOrder(nowMs: number): Waiter[] {
+  function sortedWaiters(nowMs: number): Waiter[] {
     return [...waiters].sort((left, right) => compareWaiters(left, right, nowMs));
   }
 
-  function aheadOf(waiter: Waiter): number {
-    const line = inOrder(monotonicNowMs()).filter(
+  function countAhead(waiter: Waiter): number {
+    const queue = sortedWaiters(monotonicNowMs()).filter(
       ({ serviceName }) => serviceName === waiter.serviceName,
     );
-    return Math.max(0, line.indexOf(waiter));
+    return Math.max(0, queue.indexOf(waiter));
   }
 
-  /** Tries every waiting request in its order. */
-  function look(): void {
+  /** Tries to place every waiting request, in queue order. */
+  function tryWaiters(): void {
     clearTimeout(timer);
     const nowMs = monotonicNowMs();
-    const placesOf = lookAtPools(nowMs);
-    inOrder(nowMs)
-      .filter(({ isTrying }) => !isTrying)
-      .forEach((waiter) => tryToPlace(waiter, nowMs, placesOf));
-    timer = waiters.size === 0 ? undefined : setTimeout(look, lookAgainMs);
+    const candidatesOf = createCandidateLookup(nowMs);
+    sortedWaiters(nowMs)
+      .filter(({ isReserving }) => !isReserving)
+      .forEach((waiter) => tryToPlace(waiter, nowMs, candidatesOf));
+    timer = waiters.size === 0 ? undefined : setTimeout(tryWaiters, retryIntervalMs);
   }
 
-  function lookAtPools(nowMs: number): PlacesOf {
+  function createCandidateLookup(nowMs: number): CandidatesOf {
     const ejected = health.ejected(nowMs);
-    const known = new Map<string, readonly Place[]>();
+    const candidatesByKey = new Map<string, readonly PlacementCandidate[]>();
     return ({ serviceName, engine }, kind) => {
       const key = `${kind} ${serviceName}`;
-      const places =
-        known.get(key) ??
+      const candidates =
+        candidatesByKey.get(key) ??
         pools[kind](serviceName, stages.decode)
-          .filter(({ id }) => !ejected.has(id) && !loads.isSilent(id))
+          .filter(({ id }) => !ejected.has(id) && !loads.isUnresponsive(id))
           .map((server) => ({ server, memory: loads.forecast(server.id, engine.kvTokens) }));
-      known.set(key, places);
-      return places;
+      candidatesByKey.set(key, candidates);
+      return candidates;
     };
   }
 
-  function tryToPlace(waiter: Waiter, nowMs: number, placesOf: PlacesOf): void {
-    if (waiter.giveUpAtMs <= nowMs || waiter.signal.aborted) {
+  function tryToPlace(waiter: Waiter, nowMs: number, candidatesOf: CandidatesOf): void {
+    if (waiter.expiresAtMs <= nowMs || waiter.signal.aborted) {
       refuse(waiter);
       return;
     }
-    const places = placesOf(waiter, 'usable').filter((one) => mayUse(waiter, one));
-    if (places.length === 0 && refuseIfClosed(waiter, nowMs)) {
+    const candidates = candidatesOf(waiter, 'usable').filter((candidate) =>
+      mayUse(waiter, candidate),
+    );
+    if (candidates.length === 0 && refuseIfNoneAccepting(waiter, nowMs)) {
       return;
     }
-    const isWelcome =
-      isUrgent(waiter, nowMs) ||
-      hasHeadroom(places, { stream: waiter.stream, engineTokens: waiter.engine.kvTokens });
-    const chosen = isWelcome
-      ? (tightestPlace(places, { ...waiter, random }) ?? trySpare(waiter, nowMs, placesOf))
+    const isAdmitted =
+      isOnTime(waiter, nowMs) ||
+      hasHeadroom(candidates, { stream: waiter.stream, engineTokens: waiter.engine.kvTokens });
+    const candidate = isAdmitted
+      ? (chooseBestFit(candidates, { ...waiter, random }) ?? trySpare(waiter, nowMs, candidatesOf))
       : undefined;
-    if (chosen !== undefined) {
-      chosen.memory.add(waiter.stream);
-      void reserveAt(chosen.server, waiter);
-    } else if (!isUrgent(waiter, nowMs)) {
+    if (candidate !== undefined) {
+      candidate.memory.add(waiter.stream);
+      void reserveAt(candidate.server, waiter);
+    } else if (!isOnTime(waiter, nowMs)) {
       refuse(waiter);
     }
   }
 
-  function mayUse({ failedIds, excludedIds, reservedTokens }: Waiter, { server }: Place): boolean {
+  function mayUse(
+    { failedIds, excludedIds, reservedTokens }: Waiter,
+    { server }: PlacementCandidate,
+  ): boolean {
     const hasFailed = failedIds.has(server.id) || excludedIds.has(server.id);
     return (
       !hasFailed &&
@@ -231,31 +240,39 @@
   }
 
   /**
-   * Engines of another part, where most of the own ones have failed. Not where those are only full: what others have
-   * placed there is unknown, so such streams are paused and pause others. In replays of 68 routers that took spare
-   * engines when full, 84 of 2,981 streams were paused and 17% of reservations turned away; now 27 and 2%, and 2% more
-   * are on time.
+   * Chooses an engine of another shard, if most engines of this router's own shard have failed. It does not do so when
+   * they are only full: other routers' placements on spare engines are unknown here, so streams placed there are paused
+   * and cause others to be paused. In replays of 68 routers that used spare engines when full, 84 of 2,981 streams were
+   * paused and 17% of reservations rejected; without that 27 and 2%, and 2% more streams are on time.
    */
-  function trySpare(waiter: Waiter, nowMs: number, placesOf: PlacesOf): Place | undefined {
-    if (nowMs < waiter.nextSpareAtMs || !hasLostPart(waiter, placesOf)) {
+  function trySpare(
+    waiter: Waiter,
+    nowMs: number,
+    candidatesOf: CandidatesOf,
+  ): PlacementCandidate | undefined {
+    if (nowMs < waiter.nextSpareAttemptAtMs || !hasLostMostServers(waiter, candidatesOf)) {
       return undefined;
     }
-    waiter.nextSpareAtMs = nowMs + spareRetryMs;
-    const places = placesOf(waiter, 'spare').filter((one) => mayUse(waiter, one));
-    return tightestPlace(places, { ...waiter, random });
+    waiter.nextSpareAttemptAtMs = nowMs + spareRetryIntervalMs;
+    const candidates = candidatesOf(waiter, 'spare').filter((candidate) =>
+      mayUse(waiter, candidate),
+    );
+    return chooseBestFit(candidates, { ...waiter, random });
   }
 
-  function hasLostPart(waiter: Waiter, placesOf: PlacesOf): boolean {
-    const listed = pools.usable(waiter.serviceName, stages.decode).length;
-    return listed === 0 || placesOf(waiter, 'usable').length < soundShare * listed;
+  function hasLostMostServers(waiter: Waiter, candidatesOf: CandidatesOf): boolean {
+    const listedCount = pools.usable(waiter.serviceName, stages.decode).length;
+    return (
+      listedCount === 0 || candidatesOf(waiter, 'usable').length < minHealthyShare * listedCount
+    );
   }
 
-  function isUrgent({ isResumed, onTimeUntilMs }: Waiter, nowMs: number): boolean {
-    return isResumed || onTimeUntilMs >= nowMs;
+  function isOnTime({ isResumed, latestStartAtMs }: Waiter, nowMs: number): boolean {
+    return isResumed || latestStartAtMs >= nowMs;
   }
 
   async function reserveAt(server: BackendServer, waiter: Waiter): Promise<void> {
-    waiter.isTrying = true;
+    waiter.isReserving = true;
     limits.take(server.id, callsPerPlacement);
     const stream = loads.place(server.id, waiter.stream);
     const outcome = await backend.reserve(server, {
@@ -264,28 +281,28 @@
       timeoutMs: reserveTimeoutMs,
       signal: waiter.signal,
     });
-    waiter.isTrying = false;
+    waiter.isReserving = false;
     if (outcome.kind === 'done') {
       loads.noteContact(server.id);
       health.record(server.id, 'success', monotonicNowMs());
     }
     if (outcome.kind === 'done' && words.mayGet(server)) {
       admissionOf(waiter).notePlaced(monotonicNowMs());
-      hand(waiter, { reservation: outcome.value, stream: lookAfter(stream) });
+      deliver(waiter, { reservation: outcome.value, stream: retryWaitersOnRelease(stream) });
       return;
     }
     stream.release();
     if (outcome.kind === 'done') {
-      // The very answer may have said that the engine leaves: a prompt would be read for nothing.
+      // This answer may itself have announced that the engine is leaving; a prefill would then be wasted.
       backend.releaseReservation(outcome.value);
       waiter.failedIds.add(server.id);
     } else {
-      noteNotReserved(server, waiter, outcome);
+      noteReservationFailure(server, waiter, outcome);
     }
-    look();
+    tryWaiters();
   }
 
-  function noteNotReserved(
+  function noteReservationFailure(
     { id }: BackendServer,
     { failedIds, reservedTokens, signal }: Waiter,
     outcome: Exclude<CallOutcome<Reservation>, { kind: 'done' }>,
@@ -297,15 +314,15 @@
     }
     failedIds.add(id);
     if (cause === 'other-server') {
-      loads.noteSilent(id);
+      loads.noteUnresponsive(id);
     }
-    const isOurDoing = outcome.kind === 'lost' && outcome.isOurs && signal.aborted;
-    if (cause !== 'withheld' && !isOurDoing) {
+    const wasAbortedLocally = outcome.kind === 'lost' && outcome.isOurs && signal.aborted;
+    if (cause !== 'withheld' && !wasAbortedLocally) {
       health.record(id, 'failure', monotonicNowMs());
     }
   }
 
-  function hand(waiter: Waiter, placement: Placement): void {
+  function deliver(waiter: Waiter, placement: Placement): void {
     if (waiters.has(waiter)) {
       finish(waiter, { kind: 'placed', placement });
     } else {
@@ -314,14 +331,14 @@
     }
   }
 
-  /** Memory that becomes free is offered to those that wait. */
-  function lookAfter(stream: PlacedStream): PlacedStream {
+  /** Wraps a placed stream so that waiting requests are retried when its memory is released. */
+  function retryWaitersOnRelease(stream: PlacedStream): PlacedStream {
     return {
       ...stream,
       release() {
         stream.release();
         if (waiters.size > 0) {
-          look();
+          tryWaiters();
         }
       },
     };
@@ -333,7 +350,7 @@
 function compareWaiters(left: Waiter, right: Waiter, nowMs: number): number {
   return (
     Number(right.isResumed) - Number(left.isResumed) ||
-    Number(left.onTimeUntilMs < nowMs) - Number(right.onTimeUntilMs < nowMs) ||
+    Number(left.latestStartAtMs < nowMs) - Number(right.latestStartAtMs < nowMs) ||
     left.priority - right.priority ||
     left.arrivedAtMs - right.arrivedAtMs
   );
--- a/packages/routing/src/engineLoads.ts
+++ b/packages/routing/src/engineLoads.ts
@@ -1,6 +1,6 @@
 /**
- * What this process believes of the engines' memory and queues: what it and its peers have in progress there,
- * and the engines' own reports for whatever those do not explain.
+ * Estimates the memory and queues of the engines from the work that this router and its peers have in progress there.
+ * Load reports of the engines account for the rest.
  */
 import { createMemoryForecast, type MemoryForecast } from '@bluebellhitch/decisions';
 import type { PeerEngineUse, StreamOutlook } from '@bluebellhitch/protocol';
@@ -10,64 +10,63 @@
 
 export interface EngineLoads {
   report(serverId: string, load: EngineLoad): void;
-  /** The engine did not answer; it is silent until its next report. */
-  noteSilent(serverId: string): void;
+  /** The engine did not answer; it counts as unresponsive until its next report. */
+  noteUnresponsive(serverId: string): void;
   /** The engine has just answered a call. */
   noteContact(serverId: string): void;
-  /** It answered neither its last report, to whoever asked for it, nor us a moment ago. */
-  isSilent(serverId: string): boolean;
-  /** A stream that takes memory on a decode engine from now on, though its prompt may still be read elsewhere. */
+  /** Whether its last load report failed, here or at a peer, and it has not answered a call from here lately. */
+  isUnresponsive(serverId: string): boolean;
+  /** Counts a stream's memory on a decode engine from now on, though its prompt may still be prefilled elsewhere. */
   place(serverId: string, stream: StreamOutlook): PlacedStream;
-  /** A prompt on its way through a prefill engine; call the result when it is read. */
+  /** Counts a prompt that a prefill engine processes; call the result when it is done. */
   beginPrefill(serverId: string, tokens: number): () => void;
-  /** A decode engine reads a prompt itself; call the result when its first event is there. */
-  beginOwnPrompt(serverId: string): () => void;
-  /** Of all routers that are known. */
-  ownPrompts(serverId: string): number;
-  /** The engine has just refused this many tokens. */
+  /** Counts a prompt that a decode engine prefills itself; call the result when its first event has arrived. */
+  beginLocalPrefill(serverId: string): () => void;
+  /** Local prefills in progress on a decode engine, of this router and its peers. */
+  localPrefillCount(serverId: string): number;
+  /** The engine has just rejected a reservation of this many tokens. */
   noteFull(serverId: string, tokens: number): void;
-  /** Of the memory there; `capacityTokens` stands where there is no report. */
+  /** Forecasts the engine's memory; `capacityTokens` is used until the engine has reported its own. */
   forecast(serverId: string, capacityTokens: number): MemoryForecast;
-  /** Whether it has just refused this much or less. */
+  /** Whether it has recently rejected a reservation of this size or a smaller one. */
   isFullFor(serverId: string, tokens: number): boolean;
-  /** Prompt tokens before a new prompt's turn. */
+  /** Prompt tokens queued ahead of a new prompt. */
   prefillBacklogTokens(serverId: string): number;
   forget(serverId: string): void;
-  /** What this process itself has in progress. */
+  /** Work that this router has in progress, by engine. */
   ownUse(): PeerEngineUse[];
-  /** Takes what a peer has in progress; `isFull` replaces all that was known of it. */
+  /** Stores a peer's work in progress; with `isFull`, engines that are not named are cleared for this peer. */
   setPeerUse(peerAddress: string, engines: readonly PeerEngineUse[], isFull: boolean): void;
   dropPeer(peerAddress: string): void;
 }
 
 export interface PlacedStream {
-  /** Of its whole output. */
+  /** Sets the tokens emitted so far, of the whole output. */
   noteEmitted(tokens: number): void;
-  /** Its memory is free again. */
   release(): void;
 }
 
 export interface EngineLoadsOptions {
-  /** Told whenever `ownUse` has changed at an engine. */
+  /** Called whenever `ownUse` has changed for an engine. */
   onOwnChange?: (serverId: string) => void;
-  /** Whether the engine is listed: what peers say of others is not kept, or it would be kept for ever. */
+  /** Whether the engine is in the directory. Peers' data on other engines is dropped: it would never be removed. */
   isListed?: (serverId: string) => boolean;
-  /** At which an engine's streams emit: what peers said of theirs grows at this pace. */
+  /** Rate at which a stream emits tokens; used to extrapolate peers' streams since they were received. */
   tokensPerMs?: () => number;
-  /** Of the lengths of streams; see `survival`. */
+  /** Shape of the distribution of output lengths, as used by the memory forecast. */
   lengthShape?: () => number;
 }
 
-interface Change {
+interface UsageChange {
   tokens: number;
   atMs: number;
 }
 
 type Use = Omit<PeerEngineUse, 'serverId'>;
-type AmountName = 'prefillTokens' | 'ownPrompts';
+type CounterName = 'prefillTokens' | 'ownPrompts';
 
 interface PeerUse extends Use {
-  toldAtMs: number;
+  receivedAtMs: number;
 }
 
 interface EngineState {
@@ -77,29 +76,29 @@
   own: Omit<Use, 'streams'>;
   ownStreams: Set<StreamOutlook>;
   peers: Map<string, PeerUse>;
-  /** Changes of memory in use that the last report may not show. */
-  changes: Change[];
-  full?: { tokens: number; untilMs: number };
+  /** Recent changes of memory use that the last report may not include. */
+  changes: UsageChange[];
+  lastRejection?: { tokens: number; untilMs: number };
 }
 
-/** Reports tell the state of some hundred milliseconds ago: of this long ago at least, and at most. */
-const youngestReportMs = 700;
-const oldestReportMs = 1_100;
-/** Reports older than this say less than what is known to be placed. */
+/** A load report shows the state of some hundred milliseconds ago: these are its minimum and maximum age. */
+const minReportAgeMs = 700;
+const maxReportAgeMs = 1_100;
+/** A report older than this is less accurate than the known placements, and is ignored. */
 const reportLifetimeMs = 5_000;
-/** An answer to any call proves this long that the engine is there. */
+/** After an answer to any call an engine counts as responsive for this long. */
 const contactLifetimeMs = 500;
-/** A refusal counts until some stream may have ended since. */
-const fullMs = 60;
+/** A rejection is remembered until another stream may have ended. */
+const rejectionLifetimeMs = 60;
 /**
- * Standard deviations of the forecast that stay free besides its mean. A stream that is paused for want of memory comes
- * late and has its prompt read again, which costs more than a stream that waits. In 20 replayed bursts of answers much
- * longer than their prompts 438,000 tokens were read again with this and 4,333 of 6,283 requests served on time, where
- * three quarters of each expected answer were counted 1,362,000 and 4,221. Where prompts are most of the memory, both
- * do alike.
+ * Standard deviations of the memory forecast to keep free above its mean. A stream that an engine pauses for lack of
+ * memory is late and has its prompt prefilled again, which costs more than letting a stream wait. In 20 replayed bursts
+ * with answers much longer than their prompts, 438,000 tokens were prefilled again with this margin and 4,333 of 6,283
+ * requests served on time; counting three quarters of each expected answer instead gave 1,362,000 and 4,221. Where
+ * prompts take most of the memory, both perform alike.
  */
-const caution = 2.5;
-/** Part of a prompt that waits at an engine by its report: others' prompts are about like ours. */
+const marginDeviations = 2.5;
+/** Assumed tokens of a prompt in an engine's reported queue: other routers' prompts are about the size of ours. */
 const reportedPromptTokens = 5_000;
 
 export function createEngineLoads(options: EngineLoadsOptions = {}): EngineLoads {
@@ -126,18 +125,18 @@
     return state;
   }
 
-  function noteChange(state: EngineState, tokens: number): void {
+  function recordChange(state: EngineState, tokens: number): void {
     if (tokens === 0) {
       return;
     }
     const atMs = monotonicNowMs();
     state.changes.push({ tokens, atMs });
-    const oldestMs = Math.min(state.reportedAtMs, atMs) - oldestReportMs;
-    state.changes = state.changes.filter((one) => one.atMs > oldestMs);
+    const keepFromMs = Math.min(state.reportedAtMs, atMs) - maxReportAgeMs;
+    state.changes = state.changes.filter((one) => one.atMs > keepFromMs);
   }
 
-  /** Adds to one of our own amounts until the result is called. */
-  function add(serverId: string, name: AmountName, amount: number): () => void {
+  /** Adds to one of this router's counters until the result is called. */
+  function add(serverId: string, name: CounterName, amount: number): () => void {
     const state = stateOf(serverId);
     const apply = (signed: number) => {
       state.own[name] += signed;
@@ -151,7 +150,7 @@
     const state = stateOf(serverId);
     const stream = { ...outlook };
     state.ownStreams.add(stream);
-    noteChange(state, heldTokens(stream));
+    recordChange(state, heldTokens(stream));
     onOwnChange(serverId);
     return {
       noteEmitted(tokens) {
@@ -159,44 +158,44 @@
       },
       release: runOnce(() => {
         state.ownStreams.delete(stream);
-        noteChange(state, -heldTokens(stream));
+        recordChange(state, -heldTokens(stream));
         onOwnChange(serverId);
       }),
     };
   }
 
-  function setSilent(serverId: string, state: EngineState, isSilent: boolean): void {
-    if (state.own.isSilent !== isSilent) {
-      state.own.isSilent = isSilent;
+  function setUnresponsive(serverId: string, state: EngineState, isUnresponsive: boolean): void {
+    if (state.own.isSilent !== isUnresponsive) {
+      state.own.isSilent = isUnresponsive;
       onOwnChange(serverId);
     }
   }
 
-  function total(state: EngineState, name: AmountName): number {
+  function totalOf(state: EngineState, name: CounterName): number {
     return [...state.peers.values()].reduce((sum, peer) => sum + peer[name], state.own[name]);
   }
 
-  /** All streams that are known there; those of peers have grown since they were told. */
+  /** All known streams on an engine; those of peers are extrapolated from the time they were received. */
   function streamsAt({ ownStreams, peers }: EngineState): StreamOutlook[] {
     const nowMs = monotonicNowMs();
-    const told = [...peers.values()].flatMap(({ streams, toldAtMs }) => {
-      const grownTokens = tokensPerMs() * (nowMs - toldAtMs);
-      return streams.map((stream) => grown(stream, grownTokens));
+    const peerStreams = [...peers.values()].flatMap(({ streams, receivedAtMs }) => {
+      const growthTokens = tokensPerMs() * (nowMs - receivedAtMs);
+      return streams.map((stream) => withGrowth(stream, growthTokens));
     });
-    return [...ownStreams, ...told];
+    return [...ownStreams, ...peerStreams];
   }
 
-  /** What the engine reports beyond the streams that are known. */
-  function unexplainedTokens(state: EngineState, streams: readonly StreamOutlook[]): number {
+  /** Tokens in use by the engine's report that no known stream accounts for. */
+  function unattributedTokens(state: EngineState, streams: readonly StreamOutlook[]): number {
     const { load, reportedAtMs } = state;
     if (load === undefined || monotonicNowMs() - reportedAtMs > reportLifetimeMs) {
       return 0;
     }
-    const unseen = state.changes
-      .filter((change) => isUnseen(change, reportedAtMs))
+    const unreportedTokens = state.changes
+      .filter((change) => isUnreported(change, reportedAtMs))
       .reduce((sum, { tokens }) => sum + tokens, 0);
-    const known = streams.reduce((sum, stream) => sum + heldTokens(stream), 0);
-    return Math.max(0, load.usedTokens + unseen - known);
+    const knownTokens = streams.reduce((sum, stream) => sum + heldTokens(stream), 0);
+    return Math.max(0, load.usedTokens + unreportedTokens - knownTokens);
   }
 
   function forecast(serverId: string, capacityTokens: number): MemoryForecast {
@@ -204,24 +203,24 @@
     const streams = streamsAt(state);
     return createMemoryForecast({
       streams,
-      otherTokens: unexplainedTokens(state, streams),
+      otherTokens: unattributedTokens(state, streams),
       capacityTokens: state.load?.totalTokens ?? capacityTokens,
       lengthShape: lengthShape(),
-      caution,
+      caution: marginDeviations,
     });
   }
 
   function setUse(peerAddress: string, serverId: string, use: Use): void {
-    if (!engines.has(serverId) && (isNothing(use) || !isListed(serverId))) {
+    if (!engines.has(serverId) && (isEmptyUse(use) || !isListed(serverId))) {
       return;
     }
     const state = stateOf(serverId);
-    const known = state.peers.get(peerAddress) ?? { ...noUse(), toldAtMs: -Infinity };
-    noteChange(state, promptsOf(use) - promptsOf(known));
-    if (isNothing(use)) {
+    const known = state.peers.get(peerAddress) ?? { ...emptyUse(), receivedAtMs: -Infinity };
+    recordChange(state, promptTokensOf(use) - promptTokensOf(known));
+    if (isEmptyUse(use)) {
       state.peers.delete(peerAddress);
     } else {
-      state.peers.set(peerAddress, { ...use, toldAtMs: monotonicNowMs() });
+      state.peers.set(peerAddress, { ...use, receivedAtMs: monotonicNowMs() });
     }
   }
 
@@ -229,10 +228,10 @@
     peerAddresses.add(peerAddress);
     used.forEach(({ serverId, ...use }) => setUse(peerAddress, serverId, use));
     if (isFull) {
-      const named = new Set(used.map(({ serverId }) => serverId));
+      const usedIds = new Set(used.map(({ serverId }) => serverId));
       [...engines.keys()]
-        .filter((serverId) => !named.has(serverId))
-        .forEach((serverId) => setUse(peerAddress, serverId, noUse()));
+        .filter((serverId) => !usedIds.has(serverId))
+        .forEach((serverId) => setUse(peerAddress, serverId, emptyUse()));
     }
   }
 
@@ -241,13 +240,13 @@
       const state = stateOf(serverId);
       state.load = load;
       state.reportedAtMs = monotonicNowMs();
-      setSilent(serverId, state, false);
+      setUnresponsive(serverId, state, false);
     },
-    noteSilent: (serverId) => setSilent(serverId, stateOf(serverId), true),
+    noteUnresponsive: (serverId) => setUnresponsive(serverId, stateOf(serverId), true),
     noteContact(serverId) {
       stateOf(serverId).contactAtMs = monotonicNowMs();
     },
-    isSilent(serverId) {
+    isUnresponsive(serverId) {
       const state = engines.get(serverId);
       if (state === undefined || monotonicNowMs() - state.contactAtMs < contactLifetimeMs) {
         return false;
@@ -256,54 +255,58 @@
     },
     place,
     beginPrefill: (serverId, tokens) => add(serverId, 'prefillTokens', tokens),
-    beginOwnPrompt: (serverId) => add(serverId, 'ownPrompts', 1),
-    ownPrompts: (serverId) => total(stateOf(serverId), 'ownPrompts'),
+    beginLocalPrefill: (serverId) => add(serverId, 'ownPrompts', 1),
+    localPrefillCount: (serverId) => totalOf(stateOf(serverId), 'ownPrompts'),
     noteFull(serverId, tokens) {
-      stateOf(serverId).full = { tokens, untilMs: monotonicNowMs() + fullMs };
+      stateOf(serverId).lastRejection = { tokens, untilMs: monotonicNowMs() + rejectionLifetimeMs };
     },
     forecast,
     isFullFor(serverId, tokens) {
-      const full = engines.get(serverId)?.full;
-      return full !== undefined && full.untilMs > monotonicNowMs() && tokens >= full.tokens;
+      const lastRejection = engines.get(serverId)?.lastRejection;
+      return (
+        lastRejection !== undefined &&
+        lastRejection.untilMs > monotonicNowMs() &&
+        tokens >= lastRejection.tokens
+      );
     },
     prefillBacklogTokens(serverId) {
       const state = stateOf(serverId);
-      // Peers say what they have in progress within milliseconds; a report is a second behind.
-      const reported = peerAddresses.size > 0 ? 0 : (state.load?.waiting ?? 0);
-      return total(state, 'prefillTokens') + reported * reportedPromptTokens;
+      // Peers announce their work in progress within milliseconds, while a report is up to a second old.
+      const queuedPrompts = peerAddresses.size > 0 ? 0 : (state.load?.waiting ?? 0);
+      return totalOf(state, 'prefillTokens') + queuedPrompts * reportedPromptTokens;
     },
     forget: (serverId) => engines.delete(serverId),
     ownUse: () =>
       [...engines]
         .map(([serverId, { own, ownStreams }]) => ({ serverId, ...own, streams: [...ownStreams] }))
-        .filter((use) => !isNothing(use)),
+        .filter((use) => !isEmptyUse(use)),
     setPeerUse,
     dropPeer(peerAddress) {
       peerAddresses.delete(peerAddress);
-      [...engines.keys()].forEach((serverId) => setUse(peerAddress, serverId, noUse()));
+      [...engines.keys()].forEach((serverId) => setUse(peerAddress, serverId, emptyUse()));
     },
   };
 }
 
-/** Of a change that the report may show or not, the case is taken in which less is left unexplained. */
-function isUnseen({ tokens, atMs }: Change, reportedAtMs: number): boolean {
-  return atMs > reportedAtMs - (tokens < 0 ? oldestReportMs : youngestReportMs);
+/** Where a report may or may not include a change, assumes the case that leaves fewer tokens unattributed. */
+function isUnreported({ tokens, atMs }: UsageChange, reportedAtMs: number): boolean {
+  return atMs > reportedAtMs - (tokens < 0 ? maxReportAgeMs : minReportAgeMs);
 }
 
-function noUse(): Use {
+function emptyUse(): Use {
   return { streams: [], prefillTokens: 0, ownPrompts: 0, isSilent: false };
 }
 
-/** What is told of these engines: those that are not in use, too. */
+/** The use of exactly these engines, with an empty entry for each that is not in use. */
 export function usesAt(
   used: readonly PeerEngineUse[],
   serverIds: readonly string[],
 ): PeerEngineUse[] {
   const known = new Map(used.map((use) => [use.serverId, use]));
-  return serverIds.map((serverId) => known.get(serverId) ?? { serverId, ...noUse() });
+  return serverIds.map((serverId) => known.get(serverId) ?? { serverId, ...emptyUse() });
 }
 
-function isNothing({ streams, prefillTokens, ownPrompts, isSilent }: Use): boolean {
+function isEmptyUse({ streams, prefillTokens, ownPrompts, isSilent }: Use): boolean {
   return streams.length === 0 && prefillTokens === 0 && ownPrompts === 0 && !isSilent;
 }
 
@@ -311,15 +314,15 @@
   return promptTokens + emittedTokens;
 }
 
-/** Few streams outlive twice their median; one that seems to is more likely paused than that long. */
-const mostGrowth = 2;
+/** Few streams exceed twice their median length; one that seems to is more likely to be paused. */
+const maxGrowthFactor = 2;
 
-function grown(stream: StreamOutlook, tokens: number): StreamOutlook {
+function withGrowth(stream: StreamOutlook, tokens: number): StreamOutlook {
   const { emittedTokens, medianOutputTokens } = stream;
-  const most = Math.max(emittedTokens, mostGrowth * medianOutputTokens);
-  return { ...stream, emittedTokens: Math.min(emittedTokens + tokens, most) };
+  const maxTokens = Math.max(emittedTokens, maxGrowthFactor * medianOutputTokens);
+  return { ...stream, emittedTokens: Math.min(emittedTokens + tokens, maxTokens) };
 }
 
-function promptsOf({ streams }: Use): number {
+function promptTokensOf({ streams }: Use): number {
   return streams.reduce((sum, { promptTokens }) => sum + promptTokens, 0);
 }
--- a/packages/routing/src/loadPoller.ts
+++ b/packages/routing/src/loadPoller.ts
@@ -1,8 +1,7 @@
 /**
- * Reads the engines' load reports at an even pace. An engine that does not answer is passed over until it
- * does: a request that is sent to one waits for a time-out, which costs it its target. Routers share the
- * engines among them and tell each other which are silent, so that an engine is asked as often in a large
- * fleet as in a small one.
+ * Polls the engines' load reports at a steady rate. An engine that does not answer gets no requests until it does: a
+ * request sent to it would wait for a time-out and miss its target. Routers divide the engines among themselves and
+ * announce which are unresponsive, so that an engine is polled as often in a large fleet as in a small one.
  */
 import {
   createBackgroundLoop,
@@ -22,47 +21,47 @@
 export interface LoadPollerOptions {
   backend: Pick<BackendApi, 'readLoad'>;
   directory: ServerDirectory;
-  /** Services with engines. */
+  /** Names of the services with engines. */
   services: () => readonly string[];
   pools: ServerPools;
   loads: EngineLoads;
   streamSizes: Pick<StreamSizes, 'observeRuns'>;
-  /** An engine reports that it leaves: its entry may not say so yet. */
+  /** Called when an engine reports that it is leaving; its directory entry may not say so yet. */
   onLeaving?: (server: BackendServer) => void;
-  /** Each engine is read once in this time. */
+  /** Each engine is polled once per interval. */
   intervalMs: number;
   ownAddress: string;
-  /** Routers that are heard and use the same engines. */
+  /** Addresses of the live routers that use the same engines. */
   livePeers: () => readonly string[];
   random?: Random;
 }
 
-/** An engine answers within milliseconds; a report that comes later is stale. */
+/** An engine answers within milliseconds; a report that takes longer is stale. */
 const reportTimeoutMs = 400;
-const longestPaceMs = 250;
-/** A stream that begins now may last so long. */
-const leavesSoonMs = 15_000;
-/** Sharing out costs a hash for each engine and router. */
-const shareOutMs = 500;
+const maxPollDelayMs = 250;
+/** A stream that begins now may last this long. */
+const leavingThresholdMs = 15_000;
+/** Assigning engines to routers costs a hash per engine and router, so the result is kept for this long. */
+const assignmentIntervalMs = 500;
 
 export function createLoadPoller(options: LoadPollerOptions): BackgroundLoop {
   const { backend, directory, pools, loads, streamSizes, intervalMs } = options;
   const { onLeaving = () => undefined, random = Math.random } = options;
-  let readAtMs = new Map<string, number>();
-  let own: BackendServer[] = [];
-  let sharedOutAtMs = -Infinity;
+  let polledAtMs = new Map<string, number>();
+  let assignedEngines: BackendServer[] = [];
+  let assignedAtMs = -Infinity;
 
-  async function readOne(server: BackendServer): Promise<void> {
+  async function pollEngine(server: BackendServer): Promise<void> {
     const outcome = await backend.readLoad(server, reportTimeoutMs);
     if (outcome.kind === 'done') {
-      takeReport(server, outcome.value);
+      applyReport(server, outcome.value);
     } else if (outcome.kind === 'lost' || outcome.cause.kind !== 'withheld') {
-      loads.noteSilent(server.id);
+      loads.noteUnresponsive(server.id);
     }
   }
 
-  /** A report of another life tells nothing of this one; one of a newer life is the first news of it. */
-  function takeReport(server: BackendServer, load: EngineLoad): void {
+  /** A report from another incarnation is not applied, but the directory is told: it may not list a new one yet. */
+  function applyReport(server: BackendServer, load: EngineLoad): void {
     const { bornAtMs = server.bornAtMs } = load;
     if (bornAtMs === server.bornAtMs) {
       if (isLeaving(load)) {
@@ -75,18 +74,18 @@
     }
   }
 
-  /** The engines that this process looks after. */
-  function engines(): BackendServer[] {
+  /** The engines that this router polls. */
+  function activeEngines(): BackendServer[] {
     const nowMs = monotonicNowMs();
-    if (nowMs >= sharedOutAtMs + shareOutMs) {
-      sharedOutAtMs = nowMs;
-      own = shareOut();
-      readAtMs = new Map(own.map(({ id }) => [id, readAtMs.get(id) ?? -Infinity]));
+    if (nowMs >= assignedAtMs + assignmentIntervalMs) {
+      assignedAtMs = nowMs;
+      assignedEngines = assignEngines();
+      polledAtMs = new Map(assignedEngines.map(({ id }) => [id, polledAtMs.get(id) ?? -Infinity]));
     }
-    return own.filter(({ id }) => directory.get(id)?.isDraining === false);
+    return assignedEngines.filter(({ id }) => directory.get(id)?.isDraining === false);
   }
 
-  function shareOut(): BackendServer[] {
+  function assignEngines(): BackendServer[] {
     const routers = [options.ownAddress, ...options.livePeers()];
     return options
       .services()
@@ -96,29 +95,29 @@
       );
   }
 
-  /** The engine whose report is the oldest, if any is due. */
-  function nextDue(listed: readonly BackendServer[], nowMs: number): BackendServer | undefined {
-    const readAt = ({ id }: BackendServer) => readAtMs.get(id) ?? -Infinity;
-    return listed
-      .filter((server) => readAt(server) + intervalMs <= nowMs)
-      .sort((left, right) => readAt(left) - readAt(right))[0];
+  /** The engine that was polled the longest time ago, if it is due. */
+  function nextDue(engines: readonly BackendServer[], nowMs: number): BackendServer | undefined {
+    const lastPollAtMs = ({ id }: BackendServer) => polledAtMs.get(id) ?? -Infinity;
+    return engines
+      .filter((server) => lastPollAtMs(server) + intervalMs <= nowMs)
+      .sort((left, right) => lastPollAtMs(left) - lastPollAtMs(right))[0];
   }
 
   return createBackgroundLoop(async (signal) => {
     while (!signal.aborted) {
-      const listed = engines();
+      const engines = activeEngines();
       const nowMs = monotonicNowMs();
-      const next = nextDue(listed, nowMs);
+      const next = nextDue(engines, nowMs);
       if (next !== undefined) {
-        readAtMs.set(next.id, nowMs);
-        void readOne(next);
+        polledAtMs.set(next.id, nowMs);
+        void pollEngine(next);
       }
-      const paceMs = Math.min(longestPaceMs, intervalMs / Math.max(1, listed.length));
-      await delay(paceMs * (0.75 + 0.5 * random()), signal);
+      const pollDelayMs = Math.min(maxPollDelayMs, intervalMs / Math.max(1, engines.length));
+      await delay(pollDelayMs * (0.75 + 0.5 * random()), signal);
     }
   });
 }
 
 function isLeaving({ isDraining, leavesInMs = Infinity }: EngineLoad): boolean {
-  return isDraining || leavesInMs < leavesSoonMs;
+  return isDraining || leavesInMs < leavingThresholdMs;
 }
--- a/packages/routing/src/placementChoice.ts
+++ b/packages/routing/src/placementChoice.ts
@@ -1,57 +1,64 @@
-/** Chooses among engines that have room for a stream. Pure: what is known of their memory is given. */
+/** Chooses among engines with enough free memory for a stream. Pure functions of the given memory forecasts. */
 import type { MemoryForecast } from '@bluebellhitch/decisions';
 import type { StreamOutlook } from '@bluebellhitch/protocol';
 import type { Random } from '@bluebellhitch/shared';
 import type { BackendServer } from './model';
 
-/** A server of a pool and its memory, as long as one look at the waiting requests lasts. */
-export interface Place {
+/** A server of a pool with its memory forecast, valid for one pass over the waiting requests. */
+export interface PlacementCandidate {
   server: BackendServer;
   memory: MemoryForecast;
 }
 
-export interface ChoiceOptions {
+export interface BestFitOptions {
   stream: StreamOutlook;
-  /** The server to take if it has room. */
+  /** The server to use if it has enough memory. */
   preferredId?: string;
   random: Random;
 }
 
-/** Part of the pool that stays free of late requests. */
+/** Share of the pool's memory that late requests must leave free. */
 const lateHeadroomShare = 0.2;
 
-/** A late answer earns little: it must not take the memory that answers on time will need. */
+/** Whether a late request may be placed. A late answer is worth little and must not use memory needed for others. */
 export function hasHeadroom(
-  places: readonly Place[],
+  candidates: readonly PlacementCandidate[],
   { stream, engineTokens }: { stream: StreamOutlook; engineTokens: number },
 ): boolean {
-  const free = places.reduce((sum, { memory }) => sum + Math.max(0, memory.freeTokens()), 0);
-  const needed = stream.promptTokens + stream.medianOutputTokens;
-  return free - needed >= lateHeadroomShare * engineTokens * places.length;
+  const freeTokens = candidates.reduce(
+    (sum, { memory }) => sum + Math.max(0, memory.freeTokens()),
+    0,
+  );
+  const neededTokens = stream.promptTokens + stream.medianOutputTokens;
+  return freeTokens - neededTokens >= lateHeadroomShare * engineTokens * candidates.length;
 }
 
 /**
- * Of two that have room, chosen at random, the one that is left with less: the others keep room for prompts that need
- * most of an engine. Two and not all, for routers that look at once must not all choose the same. In 20 replays of
- * prompts up to an engine's memory 66 instead of 58 of 100 of the largest tenth were served, and as many in all.
+ * Picks two candidates with enough memory at random and returns the one with less memory left, so that other engines
+ * stay free for prompts that need most of an engine. Only two are compared, because routers that choose at the same
+ * moment must not all choose the same engine. In 20 replays with prompts up to the size of an engine's memory, this
+ * served 66 instead of 58 of 100 of the largest tenth, and as many in total.
  */
-export function tightestPlace(
-  places: readonly Place[],
-  { stream, preferredId, random }: ChoiceOptions,
-): Place | undefined {
-  const roomy = places
-    .map((one) => ({ one, freeTokens: one.memory.freeTokensWith(stream) }))
+export function chooseBestFit(
+  candidates: readonly PlacementCandidate[],
+  { stream, preferredId, random }: BestFitOptions,
+): PlacementCandidate | undefined {
+  const fitting = candidates
+    .map((candidate) => ({
+      candidate,
+      freeTokens: candidate.memory.freeTokensWith(stream),
+    }))
     .filter(({ freeTokens }) => freeTokens >= 0);
-  const preferred = roomy.find(({ one }) => one.server.id === preferredId);
-  const [first, second] = drawTwo(roomy, random);
+  const preferred = fitting.find(({ candidate }) => candidate.server.id === preferredId);
+  const [first, second] = sampleTwo(fitting, random);
   const best =
     first !== undefined && second !== undefined && second.freeTokens < first.freeTokens
       ? second
       : first;
-  return (preferred ?? best)?.one;
+  return (preferred ?? best)?.candidate;
 }
 
-function drawTwo<Item>(items: readonly Item[], random: Random): Item[] {
+function sampleTwo<Item>(items: readonly Item[], random: Random): Item[] {
   const first = Math.floor(random() * items.length);
   const rest = items.filter((_item, index) => index !== first);
   return [items[first], rest[Math.floor(random() * rest.length)]].filter(
--- a/packages/routing/src/plainChoice.ts
+++ b/packages/routing/src/plainChoice.ts
@@ -1,4 +1,4 @@
-/** Chooses the server for a plain request's next attempt, within what servers say of themselves. */
+/** Chooses the server for a plain request's next attempt, respecting the servers' limits and backoff notices. */
 import { fromAnyPlace, monotonicNowMs } from '@bluebellhitch/shared';
 import type { BackendServer } from './model';
 import type { RequestState } from './requestState';
@@ -6,45 +6,48 @@
 
 export type PlainChoice =
   | { kind: 'chosen'; server: BackendServer }
-  /** Those that are left take no request at this time, by limits that they name. */
+  /** The remaining servers accept no request now, by the rate limits that they state. */
   | { kind: 'limited'; retryAfterMs: number }
-  /** All servers of the service rest. */
+  /** All servers of the service are in their backoff period. */
   | { kind: 'resting'; retryAfterMs: number }
   | { kind: 'none' };
 
-/** Callers come back after about this long: a full or restarting server has room again by then. */
-export const usualRetryAfterMs = 300;
-/** Servers that name a limit for longer than this have other permits meanwhile, at other routers. */
-const longestLimitedMs = 2_000;
-const retrySpread = 0.5;
+/** Default Retry-After: a full or restarting server usually has capacity again by then. */
+export const defaultRetryAfterMs = 300;
+/** Longest wait for a rate limit: other routers may have permits for the server before this one does. */
+const maxLimitWaitMs = 2_000;
+const retryJitterShare = 0.5;
 
 export async function choosePlainServer(
   state: RequestState,
-  parts: RouterParts,
+  deps: RouterParts,
 ): Promise<PlainChoice> {
-  const candidates = candidatesFor(state, parts);
+  const candidates = candidatesFor(state, deps);
   if (candidates.length === 0) {
-    return choiceOfNone(state, parts);
+    return choiceWithoutCandidates(state, deps);
   }
-  const { limits } = parts;
-  const open = leastLoaded(
+  const { limits } = deps;
+  const leastLoadedServer = leastLoaded(
     candidates.filter(({ id }) => limits.mayTake(id)),
-    parts,
+    deps,
   );
-  if (open !== undefined && limits.take(open.id)) {
-    return { kind: 'chosen', server: open };
+  if (leastLoadedServer !== undefined && limits.take(leastLoadedServer.id)) {
+    return { kind: 'chosen', server: leastLoadedServer };
   }
-  const granted = await askForPermit(candidates, state, parts);
-  return granted === undefined
-    ? { kind: 'limited', retryAfterMs: afterLimitsMs(candidates, parts) }
-    : { kind: 'chosen', server: granted };
+  const permitted = await requestPermit(candidates, state, deps);
+  return permitted === undefined
+    ? { kind: 'limited', retryAfterMs: retryAfterLimitsMs(candidates, deps) }
+    : { kind: 'chosen', server: permitted };
 }
 
-function choiceOfNone({ service }: RequestState, { words, random }: RouterParts): PlainChoice {
-  const restMs = words.closedForMs(service.name);
-  return restMs === undefined
+function choiceWithoutCandidates(
+  { service }: RequestState,
+  { words, random }: RouterParts,
+): PlainChoice {
+  const backoffMs = words.closedForMs(service.name);
+  return backoffMs === undefined
     ? { kind: 'none' }
-    : { kind: 'resting', retryAfterMs: restMs + usualRetryAfterMs * random() };
+    : { kind: 'resting', retryAfterMs: backoffMs + defaultRetryAfterMs * random() };
 }
 
 function candidatesFor(state: RequestState, { pools, health }: RouterParts): BackendServer[] {
@@ -52,8 +55,8 @@
   const untried = pools
     .usable(state.service.name)
     .filter(({ id }) => !state.failedServerIds.has(id));
-  const sound = untried.filter(({ id }) => !ejected.has(id));
-  return sound.length > 0 ? sound : untried;
+  const healthy = untried.filter(({ id }) => !ejected.has(id));
+  return healthy.length > 0 ? healthy : untried;
 }
 
 function leastLoaded(
@@ -69,8 +72,8 @@
     .sort((left, right) => left.load - right.load || left.tie - right.tie)[0]?.server;
 }
 
-/** One server after the other, in any order: a permit that is granted and not used is lost to all. */
-async function askForPermit(
+/** Asks for one server after the other, from a random one on: a permit that is granted but not used is wasted. */
+async function requestPermit(
   candidates: readonly BackendServer[],
   { signal }: RequestState,
   { limits, random }: RouterParts,
@@ -86,12 +89,12 @@
   return undefined;
 }
 
-/** Callers that were refused together come back apart. */
-function afterLimitsMs(
+/** Adds jitter, so that callers that were refused together do not retry together. */
+function retryAfterLimitsMs(
   candidates: readonly BackendServer[],
   { limits, random }: RouterParts,
 ): number {
   const soonestMs = Math.min(...candidates.map(({ id }) => limits.waitMs(id)));
-  const waitMs = Math.min(longestLimitedMs, Math.max(usualRetryAfterMs, soonestMs));
-  return waitMs * (1 + retrySpread * random());
+  const waitMs = Math.min(maxLimitWaitMs, Math.max(defaultRetryAfterMs, soonestMs));
+  return waitMs * (1 + retryJitterShare * random());
 }
--- a/packages/routing/src/plainRequest.ts
+++ b/packages/routing/src/plainRequest.ts
@@ -1,4 +1,4 @@
-/** Serves a request of a plain route: one whole answer, with further attempts where it may be repeated. */
+/** Serves a request of a plain route: one complete answer, with further attempts where the route allows them. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { BackendAnswer, CallOutcome, NotRunCause } from './backendApi';
 import type { WholeAnswer } from './callerApi';
@@ -10,56 +10,56 @@
   type NotRunReason,
   type Refusal,
 } from './model';
-import { choosePlainServer, usualRetryAfterMs, type PlainChoice } from './plainChoice';
-import { lostRefusal, noteStep, remainingMs, type RequestState } from './requestState';
+import { choosePlainServer, defaultRetryAfterMs, type PlainChoice } from './plainChoice';
+import { createLostRefusal, noteStep, remainingMs, type RequestState } from './requestState';
 import type { RouterParts } from './routerParts';
 import { drainBody, readWholeBody } from './wholeBody';
 
-/** What became of one attempt. */
+/** Outcome of one attempt. */
 type Attempt =
   | { kind: 'answer'; answer: WholeAnswer }
-  /** The server's own failure: passed on unless a further attempt does better. */
+  /** An error answer of the server; forwarded unless a further attempt has a better outcome. */
   | { kind: 'server-failure'; answer: WholeAnswer }
   | { kind: 'unreachable' }
-  /** The server wanted nothing more when it was to be sent. */
+  /** Not sent: by then the server no longer accepted requests. */
   | { kind: 'withheld' }
-  /** The address is another server's by now. */
+  /** The address now belongs to another server. */
   | { kind: 'misdirected' }
   | { kind: 'rejected' }
   | { kind: 'lost'; detail: string }
-  /** The answer was too long to be held and has gone to the caller as it came. */
+  /** The answer was too long to buffer and was streamed to the caller. */
   | { kind: 'forwarded'; isWhole: boolean };
 
-type ClosedChoice = Extract<PlainChoice, { retryAfterMs: number }>;
+type UnavailableChoice = Extract<PlainChoice, { retryAfterMs: number }>;
 
-/** What a request has come to so far. */
-interface PlainEnd {
-  /** Of its attempts. */
+/** State of a request between its attempts. */
+interface PlainProgress {
+  /** The best outcome so far. */
   best?: Attempt;
-  /** Why none is left for the next one, by the servers' own words. */
-  closed?: ClosedChoice;
+  /** Why no server accepts the next attempt, by the servers' own notices. */
+  unavailable?: UnavailableChoice;
 }
 
-const firstServerError = 500;
+const minServerErrorStatus = 500;
 /**
- * A server that has not begun its answer after this many times the route's target is not waited for any
- * longer where another one may be asked.
+ * An attempt that has not begun its answer within this multiple of the route's target latency times out, if another
+ * server may be tried.
  */
-const attemptPatience = 2.5;
-const leastPatienceShare = 0.4;
+const attemptTimeoutFactor = 2.5;
+const minTimeoutShare = 0.4;
 
-export async function servePlain(state: RequestState, parts: RouterParts): Promise<void> {
-  const end: PlainEnd = {};
+export async function servePlain(state: RequestState, deps: RouterParts): Promise<void> {
+  const progress: PlainProgress = {};
   while (remainingMs(state) > 0 && !state.exchange.signal.aborted) {
-    const choice = await choosePlainServer(state, parts);
+    const choice = await choosePlainServer(state, deps);
     if (choice.kind === 'limited' || choice.kind === 'resting') {
-      end.closed = choice;
+      progress.unavailable = choice;
     }
-    if (choice.kind !== 'chosen' || !state.mayStillRun() || !mayAttempt(state, parts)) {
+    if (choice.kind !== 'chosen' || !state.isAccessGranted() || !mayAttempt(state, deps)) {
       break;
     }
     const { server } = choice;
-    const attempt = await attemptAt(server, state, parts);
+    const attempt = await runAttempt(server, state, deps);
     noteStep(state, `${server.id} ${attempt.kind}`);
     if (attempt.kind === 'answer') {
       state.exchange.answer(attempt.answer);
@@ -69,15 +69,15 @@
       return;
     }
     state.failedServerIds.add(server.id);
-    end.best = better(end.best, attempt);
-    if (!mayFollow(state, attempt)) {
+    progress.best = betterAttempt(progress.best, attempt);
+    if (!mayRetry(state, attempt)) {
       break;
     }
   }
-  finish(state, end);
+  finish(state, progress);
 }
 
-/** Takes a further attempt out of the budget; the first that arrives anywhere is free. */
+/** Takes a further attempt from the budget; the first one that reaches a server is free. */
 function mayAttempt(state: RequestState, { budget, metrics }: RouterParts): boolean {
   if (state.sentCount === 0 && !state.wasMisdirected) {
     return true;
@@ -91,7 +91,7 @@
   return isAllowed;
 }
 
-function mayFollow(state: RequestState, attempt: Attempt): boolean {
+function mayRetry(state: RequestState, attempt: Attempt): boolean {
   switch (attempt.kind) {
     case 'unreachable':
     case 'withheld':
@@ -107,8 +107,8 @@
   }
 }
 
-/** An answer of a server tells more than none; that it may have run outweighs that it did not. */
-function better(known: Attempt | undefined, attempt: Attempt): Attempt {
+/** Ranks outcomes: a server's answer comes first, then an outcome after which the request may have run. */
+function betterAttempt(known: Attempt | undefined, attempt: Attempt): Attempt {
   const ranks = {
     forwarded: 5,
     answer: 4,
@@ -122,50 +122,54 @@
   return known === undefined || ranks[attempt.kind] > ranks[known.kind] ? attempt : known;
 }
 
-function finish(state: RequestState, end: PlainEnd): void {
-  const { best } = end;
+function finish(state: RequestState, progress: PlainProgress): void {
+  const { best } = progress;
   if (best?.kind === 'answer' || best?.kind === 'server-failure') {
     state.exchange.answer(best.answer);
     return;
   }
-  state.exchange.refuse(refusalOf(state, end));
+  state.exchange.refuse(createRefusal(state, progress));
 }
 
-function refusalOf(state: RequestState, { best, closed }: PlainEnd): Refusal {
+function createRefusal(state: RequestState, { best, unavailable }: PlainProgress): Refusal {
   if (best?.kind === 'lost') {
-    return lostRefusal(state, best.detail);
+    return createLostRefusal(state, best.detail);
   }
-  // One that has turned the request away for want of room may have room soon, whatever limits the others name.
-  const isOpen = closed === undefined || (best?.kind === 'rejected' && closed.kind === 'limited');
+  // A server that rejected the request for lack of capacity may have some soon, whatever limits the others state.
+  const usesDefaultDelay =
+    unavailable === undefined || (best?.kind === 'rejected' && unavailable.kind === 'limited');
   return {
     kind: 'not-run',
-    reason: reasonNotRun(state, { best, closed }),
-    retryAfterMs: isOpen ? usualRetryAfterMs : closed.retryAfterMs,
+    reason: reasonNotRun(state, { best, unavailable }),
+    retryAfterMs: usesDefaultDelay ? defaultRetryAfterMs : unavailable.retryAfterMs,
   };
 }
 
-function reasonNotRun({ mayStillRun }: RequestState, { best, closed }: PlainEnd): NotRunReason {
+function reasonNotRun(
+  { isAccessGranted }: RequestState,
+  { best, unavailable }: PlainProgress,
+): NotRunReason {
   if (best?.kind === 'rejected') {
     return notRunReasons.rejected;
   }
-  if (closed !== undefined) {
+  if (unavailable !== undefined) {
     return notRunReasons.overloaded;
   }
-  return mayStillRun() ? notRunReasons.noServer : notRunReasons.staleConfiguration;
+  return isAccessGranted() ? notRunReasons.noServer : notRunReasons.staleConfiguration;
 }
 
-async function attemptAt(
+async function runAttempt(
   server: BackendServer,
   state: RequestState,
-  parts: RouterParts,
+  deps: RouterParts,
 ): Promise<Attempt> {
-  const { backend, serverLoads, health } = parts;
+  const { backend, serverLoads, health } = deps;
   const endLoad = serverLoads.begin(server.id);
   health.beginAttempt(server.id, monotonicNowMs());
-  const leftMs = remainingMs(state);
+  const availableMs = remainingMs(state);
   const outcome = await backend.run(server, state.request, {
-    remainingMs: leftMs,
-    headTimeoutMs: headTimeoutMs(state, leftMs),
+    remainingMs: availableMs,
+    headTimeoutMs: headTimeoutMs(state, availableMs),
     signal: state.signal,
     lastEventId: state.request.lastEventId,
   });
@@ -175,7 +179,7 @@
   if (hasArrived(attempt)) {
     state.sentCount += 1;
   }
-  recordHealth(server, attempt, state, parts);
+  recordHealth(server, attempt, state, deps);
   return attempt;
 }
 
@@ -183,13 +187,13 @@
   return kind !== 'unreachable' && kind !== 'withheld' && kind !== 'misdirected';
 }
 
-/** The last attempt has all the time that is left; one before it leaves some for the next. */
-function headTimeoutMs({ route, sentCount }: RequestState, leftMs: number): number {
+/** The last attempt may use all of the remaining time; earlier ones leave some for the next. */
+function headTimeoutMs({ route, sentCount }: RequestState, availableMs: number): number {
   const isLast = sentCount + 1 >= route.maxAttempts;
   if (isLast || route.kind !== routeKinds.idempotent) {
-    return leftMs;
+    return availableMs;
   }
-  return Math.max(attemptPatience * route.targetLatencyMs, leastPatienceShare * leftMs);
+  return Math.max(attemptTimeoutFactor * route.targetLatencyMs, minTimeoutShare * availableMs);
 }
 
 async function readAttempt(
@@ -225,17 +229,17 @@
     return { kind: 'lost', detail: `unsealed answer ${status}` };
   }
   const isStream = state.route.kind === routeKinds.stream;
-  const read = await readWholeBody(answer.body, isStream ? 0 : undefined);
-  if (read.kind === 'lost') {
-    return { kind: 'lost', detail: read.detail };
+  const bodyRead = await readWholeBody(answer.body, isStream ? 0 : undefined);
+  if (bodyRead.kind === 'lost') {
+    return { kind: 'lost', detail: bodyRead.detail };
   }
-  if (read.kind === 'long') {
+  if (bodyRead.kind === 'long') {
     const writer = state.exchange.begin(status, headers);
-    const forwarded = await forwardBody(writer, read.start, read.rest);
+    const forwarded = await forwardBody(writer, bodyRead.start, bodyRead.rest);
     return { kind: 'forwarded', isWhole: forwarded.kind === 'whole' };
   }
-  const whole = { status, headers, body: read.body };
-  const isFailure = status >= firstServerError && state.route.kind === routeKinds.idempotent;
+  const whole = { status, headers, body: bodyRead.body };
+  const isFailure = status >= minServerErrorStatus && state.route.kind === routeKinds.idempotent;
   return { kind: isFailure ? 'server-failure' : 'answer', answer: whole };
 }
 
@@ -248,12 +252,12 @@
   if (attempt.kind === 'withheld') {
     return;
   }
-  const callerLeft = state.exchange.signal.aborted;
+  const hasCallerLeft = state.exchange.signal.aborted;
   const isSuccess =
     attempt.kind === 'rejected' ||
     (attempt.kind === 'forwarded' && attempt.isWhole) ||
-    (attempt.kind === 'answer' && attempt.answer.status < firstServerError);
-  if (isSuccess || !callerLeft) {
+    (attempt.kind === 'answer' && attempt.answer.status < minServerErrorStatus);
+  if (isSuccess || !hasCallerLeft) {
     health.record(server.id, isSuccess ? 'success' : 'failure', monotonicNowMs());
   }
 }
--- a/packages/routing/src/prefillStage.ts
+++ b/packages/routing/src/prefillStage.ts
@@ -1,6 +1,6 @@
 /**
- * Has a prompt read: by the prefill engine with the shortest queue, or, where those queues are long, by the
- * decode engine itself, which slows the streams there and so reads one at a time.
+ * Has a prompt prefilled: by the prefill engine with the shortest queue or, if those queues are long, by the decode
+ * engine itself. A local prefill slows the streams on the decode engine, so it does one at a time.
  */
 import { createRecentQuantile, createRunningEstimate } from '@bluebellhitch/decisions';
 import { monotonicNowMs } from '@bluebellhitch/shared';
@@ -11,11 +11,11 @@
 
 export type PrefillOutcome =
   | { kind: 'done'; result: PrefillResult }
-  /** No prefill engine is to be had, or none in time: the decode engine reads the prompt itself. */
+  /** No prefill engine is available in time: the decode engine prefills the prompt itself. */
   | { kind: 'at-decode' }
   | { kind: 'failed' };
 
-type ReadOutcome =
+type PrefillAttempt =
   { kind: 'done'; result: PrefillResult } | { kind: 'failed'; hasArrived: boolean };
 
 export interface PrefillStage {
@@ -24,36 +24,36 @@
     promptTokens: number,
     decodeServer: BackendServer,
   ): Promise<PrefillOutcome>;
-  /** Expected time from now until the prompt is read. */
+  /** Expected time until the prompt is prefilled. */
   expectedMs(serviceName: string, promptTokens: number): number;
 }
 
-/** Until prompts have been measured: a middling engine's speed. */
+/** Used until prompts have been measured: the speed of an average engine. */
 const initialTokensPerMs = 50;
-/** Of the speeds seen without a queue of ours, the one that most prompts reach. */
+/** Quantile of the speeds measured on engines without a known queue. */
 const speedQuantile = 0.7;
-const speedSamples = 64;
-const speedRefresh = 4;
-/** Weight of a new sample of the delay that our own counts do not explain. */
+const speedSampleCount = 64;
+const speedRefreshInterval = 4;
+/** Weight of a new sample of the delay that known queues do not account for. */
 const excessSmoothing = 0.3;
-/** A decode engine reads at half the speed of a prefill engine. */
-const decodeReadSpeed = 0.5;
-/** A queue this many times longer than reading at the decode engine is worth slowing its streams. */
-const longQueueFactor = 2;
-/** The time-out is this often the expected time, and a margin for a prompt that came just before. */
-const patienceFactor = 3;
-const patienceMarginMs = 400;
-/** From the read prompt to the caller's first event. */
+/** A decode engine prefills at half the speed of a prefill engine. */
+const localPrefillSpeedShare = 0.5;
+/** If the queue takes this many times longer than a local prefill, slowing the decode engine's streams is worth it. */
+const maxQueueFactor = 2;
+/** The time-out is this multiple of the expected time, plus a margin for a prompt that arrived just before. */
+const timeoutFactor = 3;
+const timeoutMarginMs = 400;
+/** Time from the end of the prefill to the caller's first event. */
 const firstEventMs = 60;
 
-export function createPrefillStage(parts: RouterParts): PrefillStage {
-  const { backend, pools, engineLoads, health, budget, metrics, limits } = parts;
+export function createPrefillStage(deps: RouterParts): PrefillStage {
+  const { backend, pools, engineLoads, health, budget, metrics, limits } = deps;
   const speed = createRecentQuantile({
     quantile: speedQuantile,
-    sampleCount: speedSamples,
-    refreshEvery: speedRefresh,
+    sampleCount: speedSampleCount,
+    refreshEvery: speedRefreshInterval,
   });
-  /** Time that prompts took beyond what the queues that we know of explain. */
+  /** Prefill time beyond what the known queues account for. */
   const excessMs = createRunningEstimate({ smoothing: excessSmoothing });
 
   const tokensPerMs = () => speed.value() || initialTokensPerMs;
@@ -62,16 +62,16 @@
     const ejected = health.ejected(monotonicNowMs());
     return pools
       .usable(serviceName, stages.prefill)
-      .filter(({ id }) => !ejected.has(id) && !engineLoads.isSilent(id));
+      .filter(({ id }) => !ejected.has(id) && !engineLoads.isUnresponsive(id));
   }
 
-  function choose(state: RequestState): BackendServer | undefined {
+  function chooseServer(state: RequestState): BackendServer | undefined {
     return usableServers(state.service.name)
       .filter(({ id }) => !state.failedServerIds.has(id) && limits.mayTake(id))
       .map((server) => ({
         server,
         backlog: engineLoads.prefillBacklogTokens(server.id),
-        tie: parts.random(),
+        tie: deps.random(),
       }))
       .sort((left, right) => left.backlog - right.backlog || left.tie - right.tie)[0]?.server;
   }
@@ -81,33 +81,34 @@
     return tokens / tokensPerMs() + Math.max(0, excessMs.mean());
   }
 
-  /** Whether the decode engine should read the prompt although a prefill engine could. */
-  function isBetterAtDecode(
+  /** Whether the decode engine should prefill the prompt although a prefill engine is available. */
+  function shouldPrefillLocally(
     state: RequestState,
     promptTokens: number,
     prefillServer: BackendServer,
     decodeServer: BackendServer,
   ): boolean {
-    const ownMs = promptTokens / (tokensPerMs() * decodeReadSpeed);
+    const localMs = promptTokens / (tokensPerMs() * localPrefillSpeedShare);
     const { targetLatencyMs, targetGapMs } = state.route;
-    // The other streams there pause for as long: no longer than is still on time for them.
-    if (engineLoads.ownPrompts(decodeServer.id) > 0 || ownMs > targetGapMs) {
+    // The other streams on that engine pause meanwhile, so it must not exceed their target gap.
+    if (engineLoads.localPrefillCount(decodeServer.id) > 0 || localMs > targetGapMs) {
       return false;
     }
     const prefillMs = expectedPrefillMs(prefillServer, promptTokens);
-    const leftMs = state.request.arrivedAtMs + targetLatencyMs - monotonicNowMs() - firstEventMs;
-    const saves = prefillMs > leftMs && ownMs <= leftMs;
-    return saves || prefillMs > longQueueFactor * ownMs;
+    const availableMs =
+      state.request.arrivedAtMs + targetLatencyMs - monotonicNowMs() - firstEventMs;
+    const isOnlyOnTimeLocally = prefillMs > availableMs && localMs <= availableMs;
+    return isOnlyOnTimeLocally || prefillMs > maxQueueFactor * localMs;
   }
 
   /**
-   * The first call that an engine accepts is free; any other counts as a further attempt, and so does a first one that is
-   * lost or turned away, as all are while engines have crashed unnoticed. Without an attempt left the decode engine reads:
-   * it has the memory set aside, and a refusal would waste it.
+   * The first call that an engine accepts is free. Any other counts as a further attempt, and so does a first call that
+   * is lost or rejected, as all are while crashed engines have not been detected. Without an attempt left the decode
+   * engine prefills locally: its memory is already reserved, and a refusal would waste it.
    */
-  function mayCall(serviceName: string, isFurther: boolean): boolean {
+  function mayCall(serviceName: string, isRetry: boolean): boolean {
     const nowMs = monotonicNowMs();
-    return isFurther ? budget.tryTake(serviceName, nowMs) : budget.hasLeft(serviceName, nowMs);
+    return isRetry ? budget.tryTake(serviceName, nowMs) : budget.hasRemaining(serviceName, nowMs);
   }
 
   async function run(
@@ -116,42 +117,42 @@
     decodeServer: BackendServer,
   ): Promise<PrefillOutcome> {
     const { name } = state.service;
-    let isFurther = state.hasReadPrompt;
+    let isRetry = state.hasPrefilled;
     while (!state.signal.aborted) {
-      const server = choose(state);
-      if (server === undefined || isBetterAtDecode(state, promptTokens, server, decodeServer)) {
+      const server = chooseServer(state);
+      if (server === undefined || shouldPrefillLocally(state, promptTokens, server, decodeServer)) {
         return { kind: 'at-decode' };
       }
-      if (!mayCall(name, isFurther)) {
+      if (!mayCall(name, isRetry)) {
         return { kind: 'at-decode' };
       }
       limits.take(server.id);
-      const read = await readAt(server, state, promptTokens);
-      if (read.kind === 'done') {
-        state.hasReadPrompt = true;
-        return read;
+      const attempt = await prefillAt(server, state, promptTokens);
+      if (attempt.kind === 'done') {
+        state.hasPrefilled = true;
+        return attempt;
       }
-      if (read.hasArrived && !isFurther) {
+      if (attempt.hasArrived && !isRetry) {
         budget.charge(name, monotonicNowMs());
       }
-      isFurther = true;
+      isRetry = true;
       state.failedServerIds.add(server.id);
     }
     return { kind: 'failed' };
   }
 
-  async function readAt(
+  async function prefillAt(
     server: BackendServer,
     state: RequestState,
     promptTokens: number,
-  ): Promise<ReadOutcome> {
+  ): Promise<PrefillAttempt> {
     const backlogTokens = engineLoads.prefillBacklogTokens(server.id);
     const expectedMs = expectedPrefillMs(server, promptTokens);
     const release = engineLoads.beginPrefill(server.id, promptTokens);
     const startedAtMs = monotonicNowMs();
     const outcome = await backend.prefill(server, state.request, {
       remainingMs: remainingMs(state),
-      timeoutMs: expectedMs * patienceFactor + patienceMarginMs,
+      timeoutMs: expectedMs * timeoutFactor + timeoutMarginMs,
       signal: state.signal,
     });
     release();
@@ -160,14 +161,14 @@
     if (outcome.kind === 'done') {
       engineLoads.noteContact(server.id);
       health.record(server.id, 'success', monotonicNowMs());
-      observe(backlogTokens, promptTokens, tookMs);
+      recordTiming(backlogTokens, promptTokens, tookMs);
       metrics.countPrefillTokens(promptTokens);
       return { kind: 'done', result: outcome.value };
     }
     const cause = outcome.kind === 'not-run' ? outcome.cause.kind : outcome.kind;
     if (cause === 'other-server') {
-      // The entry is of a server that is gone: other routers need not find out for themselves.
-      engineLoads.noteSilent(server.id);
+      // The listed server is gone: mark it, so that other routers do not have to detect it themselves.
+      engineLoads.noteUnresponsive(server.id);
     }
     if (cause !== 'rejected' && cause !== 'withheld' && !state.signal.aborted) {
       health.record(server.id, 'failure', monotonicNowMs());
@@ -175,7 +176,7 @@
     return { kind: 'failed', hasArrived: cause !== 'unreachable' && cause !== 'withheld' };
   }
 
-  function observe(backlogTokens: number, promptTokens: number, tookMs: number): void {
+  function recordTiming(backlogTokens: number, promptTokens: number, tookMs: number): void {
     if (backlogTokens === 0 && tookMs > 0) {
       speed.observe(promptTokens / tookMs);
     }
@@ -188,8 +189,8 @@
       const expected = usableServers(serviceName).map((server) =>
         expectedPrefillMs(server, promptTokens),
       );
-      const ownMs = promptTokens / (tokensPerMs() * decodeReadSpeed);
-      return Math.min(ownMs * longQueueFactor, ...expected);
+      const localMs = promptTokens / (tokensPerMs() * localPrefillSpeedShare);
+      return Math.min(localMs * maxQueueFactor, ...expected);
     },
   };
 }
--- a/packages/routing/src/requestRouter.ts
+++ b/packages/routing/src/requestRouter.ts
@@ -1,4 +1,4 @@
-/** Takes a caller's request from its route to its final answer, and tells in one log line how it went. */
+/** Routes a caller's request, serves it to its final answer or refusal, and records its outcome in one log line. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { DecisionRing } from '@bluebellhitch/telemetry';
 import type { AnswerWriter, CallerExchange, WholeAnswer } from './callerApi';
@@ -20,24 +20,24 @@
 import { decideAccess, type ConfigurationFreshness } from './workspaceAccess';
 
 export interface RequestRouter {
-  /** Ends with exactly one final call on the exchange. */
+  /** Makes exactly one final call on the exchange. */
   serve(exchange: CallerExchange): Promise<void>;
 }
 
 export interface RequestRouterOptions extends RouterParts {
   /** The configuration in force; undefined until the first is known. */
   routeTable: () => RouteTable | undefined;
-  /** How well that configuration is known to be the newest. */
+  /** Whether that configuration is known to be the newest. */
   freshness: () => ConfigurationFreshness;
-  /** A request was refused for want of freshness: a look at the platform would help. */
+  /** Called when a request is refused because the configuration may be stale; refreshing it now would help. */
   onStale(): void;
   quota: Pick<QuotaExchange, 'charge'>;
-  /** Keeps how the latest requests went. */
+  /** Records the steps and outcomes of the latest requests. */
   ring: DecisionRing;
 }
 
-/** A process that starts knows its configuration within about a second. */
-const startRetryAfterMs = 500;
+/** A starting router has its configuration within about a second. */
+const startupRetryAfterMs = 500;
 
 export function createRequestRouter(options: RequestRouterOptions): RequestRouter {
   const { routeTable, freshness, logger, random } = options;
@@ -48,7 +48,7 @@
     const table = routeTable();
     if (table === undefined) {
       const reason = notRunReasons.noConfiguration;
-      exchange.refuse({ kind: 'not-run', reason, retryAfterMs: startRetryAfterMs });
+      exchange.refuse({ kind: 'not-run', reason, retryAfterMs: startupRetryAfterMs });
       return;
     }
     const route = table.match(request.host, request.target);
@@ -65,20 +65,24 @@
       return;
     }
     const { workspace } = access;
-    const charged = chargeFor(workspace, request);
+    const charged = chargeQuota(workspace, request);
     if (charged.kind === 'limited') {
       const { retryAfterMs } = charged;
       refuseAtOnce(exchange, { kind: 'over-quota', retryAfterMs }, table, route, workspace);
       return;
     }
-    const own = { ...exchange, request: requestOf(request, table, workspace) };
-    const recorded = recordEnd(own, { route, service: service.name, workspace }, options);
+    const forwardedExchange = { ...exchange, request: requestForServer(request, table, workspace) };
+    const recorded = recordOutcome(
+      forwardedExchange,
+      { route, service: service.name, workspace },
+      options,
+    );
     const { state, end } = createRequestState({
       exchange: recorded.exchange,
       route,
       service,
       priority: workspace?.priority,
-      mayStillRun: () => isStillGranted(route, request, workspace),
+      isAccessGranted: () => isAccessGranted(route, request, workspace),
     });
     options.budget.recordRequest(service.name, monotonicNowMs());
     try {
@@ -92,13 +96,13 @@
     }
   }
 
-  function chargeFor(workspace: Workspace | undefined, request: CallerRequest): ChargeOutcome {
+  function chargeQuota(workspace: Workspace | undefined, request: CallerRequest): ChargeOutcome {
     return workspace === undefined
       ? { kind: 'charged', charge: nothingCharged }
       : options.quota.charge(workspace, request);
   }
 
-  function isStillGranted(
+  function isAccessGranted(
     route: Route,
     { credential }: CallerRequest,
     workspace: Workspace | undefined,
@@ -118,7 +122,7 @@
     route: Route | undefined,
     workspace?: Workspace,
   ): void {
-    const cause = causeOf(refusal);
+    const cause = refusalCause(refusal);
     if (cause === notRunReasons.staleConfiguration) {
       options.onStale();
     }
@@ -144,8 +148,8 @@
   return { serve };
 }
 
-/** A server learns whose request it is, and never by which key. */
-function requestOf(
+/** Replaces the caller's credentials by the workspace's name: servers never receive the API key. */
+function requestForServer(
   request: CallerRequest,
   { configuration }: RouteTable,
   workspace: Workspace | undefined,
@@ -155,20 +159,20 @@
     : { ...request, credentialHeaders: [], workspaceName: workspace?.name };
 }
 
-function causeOf(refusal: Refusal): string {
+function refusalCause(refusal: Refusal): string {
   return refusal.kind === 'not-run' ? refusal.reason : refusal.kind;
 }
 
-interface RecordedLabels {
+interface RequestLabels {
   route: Route;
   service: string;
   workspace: Workspace | undefined;
 }
 
-/** Watches what the caller is told, for the log and the metrics. */
-function recordEnd(
+/** Wraps the exchange to record the request's outcome in the log, the metrics and the decision ring. */
+function recordOutcome(
   inner: CallerExchange,
-  { route, service, workspace }: RecordedLabels,
+  { route, service, workspace }: RequestLabels,
   { metrics, logger, ring }: RequestRouterOptions,
 ) {
   const startedAt = new Date().toISOString();
--- a/packages/routing/src/requestState.ts
+++ b/packages/routing/src/requestState.ts
@@ -1,42 +1,42 @@
-/** One request on its way: its route, its time, and what it has used of its attempts. */
+/** State of one request in progress: its route, its deadline and the attempts made so far. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { CallerExchange } from './callerApi';
 import type { CallerRequest, Refusal, Route, ServiceSettings } from './model';
 
-/** Timers of one moment fire within this of each other. */
-const timerSlackMs = 2;
+/** Timers that are set for the same moment fire within this time of each other. */
+const timerToleranceMs = 2;
 
 export interface RequestState {
   exchange: CallerExchange;
   request: CallerRequest;
   route: Route;
   service: ServiceSettings;
-  /** Of the workspace, or else of the route; 0 is the most urgent. */
+  /** The workspace's priority, or else the route's; 0 is the most urgent. */
   priority: number;
-  /** Its key still opens, by the configuration in force; asked before each attempt. */
-  mayStillRun: () => boolean;
-  /** When the caller or the route's time-out gives up, on the monotonic clock. */
+  /** Whether the current configuration still grants the request access; checked before each attempt. */
+  isAccessGranted: () => boolean;
+  /** The earlier of the caller's deadline and the route's time-out, on the monotonic clock. */
   endsAtMs: number;
   /** Aborts at `endsAtMs` and when the caller leaves. */
   signal: AbortSignal;
   /** Aborts at `endsAtMs`. */
   expiry: AbortSignal;
-  /** Backend servers to which the request was sent. */
+  /** Number of backend servers that the request has reached. */
   sentCount: number;
-  /** It has arrived at an address that is another server's by now. */
+  /** It was sent to an address that now belongs to another server. */
   wasMisdirected: boolean;
-  /** A prefill engine has taken the request: its next call for a prompt is a further one. */
-  hasReadPrompt: boolean;
-  /** Servers that failed this request. */
+  /** A prefill engine has already processed the prompt; the next prefill counts as a further attempt. */
+  hasPrefilled: boolean;
+  /** Servers that have failed this request. */
   failedServerIds: Set<string>;
-  /** The server that has the prompt in memory from a run that broke. */
+  /** The server that still has the prompt in its cache, from a run that broke. */
   cachedAtServerId?: string;
-  /** For the log: what happened, in order. */
+  /** Steps of the request in order, for the log. */
   trail: TrailStep[];
 }
 
 export interface TrailStep {
-  /** Since the request arrived. */
+  /** Time since the request arrived. */
   atMs: number;
   detail: string;
 }
@@ -46,16 +46,16 @@
   route: Route;
   service: ServiceSettings;
   priority?: number;
-  mayStillRun?: () => boolean;
+  isAccessGranted?: () => boolean;
 }
 
-/** Starts the request's clock; call `end` once it has its answer. */
+/** Starts the request's timer; call `end` once the request has its answer. */
 export function createRequestState(options: RequestStateOptions): {
   state: RequestState;
   end: () => void;
 } {
   const { exchange, route, service, priority = route.priority } = options;
-  const { mayStillRun = () => true } = options;
+  const { isAccessGranted = () => true } = options;
   const { request } = exchange;
   const endsAtMs = Math.min(request.arrivedAtMs + route.timeoutMs, request.deadlineAtMs);
   const expiry = new AbortController();
@@ -66,13 +66,13 @@
     route,
     service,
     priority,
-    mayStillRun,
+    isAccessGranted,
     endsAtMs,
     signal: AbortSignal.any([exchange.signal, expiry.signal]),
     expiry: expiry.signal,
     sentCount: 0,
     wasMisdirected: false,
-    hasReadPrompt: false,
+    hasPrefilled: false,
     failedServerIds: new Set(),
     trail: [],
   };
@@ -89,10 +89,11 @@
 }
 
 /**
- * What to tell a caller whose request may have run and has no whole answer. A call's own time-out ends with the request's
- * and may fire first: its caller would be told of a lost answer instead of a time-out, and so it is asked for the time.
+ * Refusal for a request that may have run and has no complete answer. A call's own time-out ends at the same moment as
+ * the request's and may fire first, so the remaining time is checked as well: otherwise the caller would be told of a
+ * lost answer instead of a time-out.
  */
-export function lostRefusal(state: RequestState, detail: string): Refusal {
-  const isOver = state.expiry.aborted || remainingMs(state) <= timerSlackMs;
-  return isOver ? { kind: 'timed-out' } : { kind: 'answer-lost', detail };
+export function createLostRefusal(state: RequestState, detail: string): Refusal {
+  const hasTimedOut = state.expiry.aborted || remainingMs(state) <= timerToleranceMs;
+  return hasTimedOut ? { kind: 'timed-out' } : { kind: 'answer-lost', detail };
 }
--- a/packages/routing/src/routeTable.ts
+++ b/packages/routing/src/routeTable.ts
@@ -1,11 +1,11 @@
-/** Finds the route of a request, by host, then by the longest prefix of its path, and the workspace of its key. */
+/** Looks up the route of a request by host and longest matching path prefix, and the workspace of an API key. */
 import type { Configuration, Route, RouteTarget, ServiceSettings, Workspace } from './model';
 
 export interface RouteTable {
   readonly configuration: Configuration;
   match(host: string, target: string): Route | undefined;
   service(name: string): ServiceSettings | undefined;
-  /** Takes the same time for any number of keys. */
+  /** Constant time for any number of keys. */
   workspaceOfKey(digest: string): Workspace | undefined;
 }
 
@@ -31,20 +31,20 @@
   };
 }
 
-/** A key that two workspaces hold opens neither: its requests would count as those of the wrong one. */
+/** A key that two workspaces share is valid for neither, since requests could be counted for the wrong one. */
 function workspacesByKey(workspaces: readonly Workspace[]): Map<string, Workspace> {
   const byKey = new Map<string, Workspace>();
-  const shared = new Set<string>();
+  const ambiguous = new Set<string>();
   workspaces.forEach((workspace) =>
     workspace.keyDigests.forEach((digest) => {
       const holder = byKey.get(digest);
       if (holder !== undefined && holder.name !== workspace.name) {
-        shared.add(digest);
+        ambiguous.add(digest);
       }
       byKey.set(digest, workspace);
     }),
   );
-  shared.forEach((digest) => byKey.delete(digest));
+  ambiguous.forEach((digest) => byKey.delete(digest));
   return byKey;
 }
 
@@ -54,10 +54,10 @@
   fraction: number,
 ): RouteTarget | undefined {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
-  let left = fraction * total;
+  let remaining = fraction * total;
   return targets.find(({ weight }) => {
-    left -= weight;
-    return left < 0;
+    remaining -= weight;
+    return remaining < 0;
   });
 }
 
--- a/packages/routing/src/routerParts.ts
+++ b/packages/routing/src/routerParts.ts
@@ -1,4 +1,4 @@
-/** What every request of one process shares. */
+/** Dependencies that all requests of one router process share. */
 import type { OutlierDetector } from '@bluebellhitch/decisions';
 import type { Random } from '@bluebellhitch/shared';
 import type { Logger } from '@bluebellhitch/telemetry';
@@ -18,9 +18,9 @@
   backend: BackendApi;
   directory: ServerDirectory;
   pools: ServerPools;
-  /** Requests in progress at plain servers. */
+  /** Requests in progress at servers without engines. */
   serverLoads: ServerLoads;
-  /** For requests to servers that name a limit. */
+  /** Permits for requests to servers that state a rate limit. */
   limits: ServerPermits;
   words: Pick<ServerWords, 'mayGet' | 'closedForMs'>;
   engineLoads: EngineLoads;
--- a/packages/routing/src/serverLoads.ts
+++ b/packages/routing/src/serverLoads.ts
@@ -1,8 +1,8 @@
-/** Requests of this process in progress at each backend server. */
+/** Counts this router's requests in progress at each backend server. */
 import { runOnce } from '@bluebellhitch/shared';
 
 export interface ServerLoads {
-  /** Call the result when the request has left the server. */
+  /** Counts a request; call the result when it has ended. */
   begin(serverId: string): () => void;
   running(serverId: string): number;
 }
@@ -10,7 +10,7 @@
 export function createServerLoads(): ServerLoads {
   const counts = new Map<string, number>();
 
-  function add(serverId: string, change: number): void {
+  function adjust(serverId: string, change: number): void {
     const count = (counts.get(serverId) ?? 0) + change;
     if (count === 0) {
       counts.delete(serverId);
@@ -21,8 +21,8 @@
 
   return {
     begin(serverId) {
-      add(serverId, 1);
-      return runOnce(() => add(serverId, -1));
+      adjust(serverId, 1);
+      return runOnce(() => adjust(serverId, -1));
     },
     running: (serverId) => counts.get(serverId) ?? 0,
   };
--- a/packages/routing/src/stageKeeper.ts
+++ b/packages/routing/src/stageKeeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the engines of each service divided between prefill and decode. One process at a time orders, under
- * a lease in the object store that it takes only while there is something to order.
+ * Balances the engines of each service between prefill and decode. Only one process at a time sends stage orders, under
+ * a lease in the object store that it holds only while there are changes to make.
  */
 import type { DutyLease, DutyLeaseOptions } from '@bluebellhitch/objects';
 import {
@@ -19,15 +19,15 @@
 export interface StageKeeperOptions {
   directory: ServerDirectory;
   backend: Pick<BackendApi, 'readLoad' | 'orderStage'>;
-  /** Services with engines, by the configuration in force. */
+  /** Services with engines, from the current configuration. */
   services: () => readonly ServiceSettings[];
   createLease: (options: Pick<DutyLeaseOptions, 'key' | 'ttlMs' | 'marginMs'>) => DutyLease;
   holderId: string;
-  /** Two holders' orders lie at least this far apart. */
+  /** Minimum time between the orders of two successive lease holders. */
   leaseMs: number;
-  /** Part of the engines' work that is reading prompts. */
+  /** Share of the engines' work that is prefill, in (0, 1). */
   prefillShare: (serviceName: string) => number;
-  /** Whether this process is one of the few that order; all, where it is absent. */
+  /** Whether this process may try to acquire the lease; by default every process may. */
   mayContend?: () => boolean;
   logger: Logger;
   random?: Random;
@@ -38,35 +38,34 @@
   untilMs: number;
 }
 
-/** Between two looks at the pools. */
-const lookMs = 400;
-/** A pool whose list has just changed may still be growing, or losing a server that restarts. */
-const settledMs = 1_200;
-/** The lease is kept this long without an order, for engines that change to show it in the list. */
+const reconcileIntervalMs = 400;
+/** No plan is made this soon after a membership change: more servers may be joining, or one may be restarting. */
+const settleMs = 1_200;
+/** The lease is kept this long after the last order, until the directory shows the engines' new stages. */
 const idleReleaseMs = 4_000;
-/** An order's answer; an order that arrives later is one that two holders might overlap in. */
+/** Time-out of an order: one that arrived later might overlap with an order of the next lease holder. */
 const orderTimeoutMs = 600;
-/** A lease is usable for this long at least, whatever the bound between two holders. */
-const leastUseMs = 2_000;
-/** Running work ends before an engine changes: a long answer's time. */
-const runOutMs = 10_000;
+/** A lease is usable for at least this long, whatever `leaseMs` is. */
+const minUsableMs = 2_000;
+/** An engine finishes its running work before it changes; this allows for a long answer. */
+const drainMs = 10_000;
 
 export function createStageKeeper(options: StageKeeperOptions): BackgroundLoop {
   const { directory, backend, services, holderId, leaseMs, logger, random = Math.random } = options;
   const marginMs = orderTimeoutMs + leaseMs / 2;
   const lease = options.createLease({
     key: 'engine-stages',
-    ttlMs: marginMs + Math.max(leaseMs, leastUseMs),
+    ttlMs: marginMs + Math.max(leaseMs, minUsableMs),
     marginMs,
   });
   const pending = new Map<string, PendingChange>();
   let heldSinceMs: number | undefined;
-  let firstFencing: number | undefined;
+  let heldFencingNumber: number | undefined;
   let lastOrderAtMs = -Infinity;
-  /** Another holds the lease: looking again sooner is a call for nothing. */
-  let contendsFromMs = -Infinity;
+  /** When to try to acquire the lease again after another process held it; an earlier try would be wasted. */
+  let nextAcquireAtMs = -Infinity;
 
-  function nextChanges(service: ServiceSettings): StageChange[] {
+  function planChanges(service: ServiceSettings): StageChange[] {
     const engines = directory.usable(service.name).filter(({ stage }) => stage !== undefined);
     return planStageChanges({
       engines,
@@ -75,7 +74,7 @@
     });
   }
 
-  function forgetDone(): void {
+  function dropCompleted(): void {
     const nowMs = monotonicNowMs();
     [...pending]
       .filter(([id, { stage, untilMs }]) => {
@@ -86,28 +85,28 @@
   }
 
   function isSettled(): boolean {
-    return monotonicNowMs() - directory.membershipChangedAtMs() >= settledMs;
+    return monotonicNowMs() - directory.membershipChangedAtMs() >= settleMs;
   }
 
-  /** Whether this process may order now; takes the lease where it is free. */
+  /** Whether this process may send orders now; acquires the lease if it is free. */
   async function mayOrder(): Promise<boolean> {
     const isContender = options.mayContend?.() ?? true;
-    if (lease.heldFencing() === undefined && (!isContender || monotonicNowMs() < contendsFromMs)) {
+    if (lease.heldFencing() === undefined && (!isContender || monotonicNowMs() < nextAcquireAtMs)) {
       return false;
     }
     const held = await lease.acquireOrRenew();
     if (held.isErr()) {
       heldSinceMs = undefined;
-      contendsFromMs = monotonicNowMs() + leaseMs * (0.5 + 0.5 * random());
+      nextAcquireAtMs = monotonicNowMs() + leaseMs * (0.5 + 0.5 * random());
       return false;
     }
     const { fencingNumber, isFirst } = held.value;
-    if (heldSinceMs === undefined || firstFencing !== fencingNumber) {
+    if (heldSinceMs === undefined || heldFencingNumber !== fencingNumber) {
       heldSinceMs = monotonicNowMs();
-      firstFencing = fencingNumber;
-      logger.info('holding the lease of stage orders', { fencingNumber });
+      heldFencingNumber = fencingNumber;
+      logger.info('lease for stage orders acquired', { fencingNumber });
     }
-    // The holder before may have sent its last order just before its lease ended.
+    // The previous holder may have sent its last order just before its lease expired.
     return isFirst || monotonicNowMs() - heldSinceMs >= leaseMs;
   }
 
@@ -119,7 +118,7 @@
       return;
     }
     if (load.value.bornAtMs !== undefined && load.value.bornAtMs !== server.bornAtMs) {
-      // It has started again since the plan was made: the list will tell what it is now.
+      // The engine has restarted since the plan was made; the directory will show its new stage.
       return;
     }
     lastOrderAtMs = monotonicNowMs();
@@ -134,17 +133,17 @@
       orderTimeoutMs,
     );
     logger.info('stage ordered', { serverId: server.id, stage, outcome, service: service.name });
-    // Without an answer the order may still be carried out.
+    // An order without an answer may still be carried out.
     if (outcome.kind !== 'not-run') {
       const switchMs = service.engine?.stageSwitchMs ?? 0;
-      pending.set(server.id, { stage, untilMs: monotonicNowMs() + switchMs + runOutMs });
+      pending.set(server.id, { stage, untilMs: monotonicNowMs() + switchMs + drainMs });
     }
   }
 
-  async function look(): Promise<void> {
-    forgetDone();
+  async function reconcile(): Promise<void> {
+    dropCompleted();
     const planned = isSettled()
-      ? services().flatMap((service) => nextChanges(service).map((change) => ({ change, service })))
+      ? services().flatMap((service) => planChanges(service).map((change) => ({ change, service })))
       : [];
     if (planned.length === 0) {
       await releaseWhenIdle();
@@ -169,11 +168,11 @@
   }
 
   return createBackgroundLoop(async (signal) => {
-    // Processes that start together do not all write at once.
-    await delay(lookMs * random(), signal);
+    // Processes that start together must not all write at the same time.
+    await delay(reconcileIntervalMs * random(), signal);
     while (!signal.aborted) {
-      await look();
-      await delay(lookMs * (0.8 + 0.4 * random()), signal);
+      await reconcile();
+      await delay(reconcileIntervalMs * (0.8 + 0.4 * random()), signal);
     }
     await lease.release();
   });
--- a/packages/routing/src/stagePlan.ts
+++ b/packages/routing/src/stagePlan.ts
@@ -1,4 +1,4 @@
-/** How many of a service's engines should read prompts, and which of them should change their stage. */
+/** Plans how many of a service's engines should do prefill, and which engines should change their stage. */
 import { stages, type BackendServer, type Stage } from './model';
 
 export interface StageChange {
@@ -7,25 +7,25 @@
 }
 
 export interface StagePlanOptions {
-  /** The service's engines that take requests. */
+  /** The service's engines that accept requests. */
   engines: readonly BackendServer[];
-  /** Engines that were told to change already, by id, with the stage to come. */
+  /** Engines that have already been ordered to change, by id, with their new stage. */
   pending: ReadonlyMap<string, Stage>;
-  /** Part of the engines' work that is reading prompts, in (0, 1). */
+  /** Share of the engines' work that is prefill, in (0, 1). */
   prefillShare: number;
 }
 
 /**
- * A change takes an engine away for seconds, so one is made at a time, or this part of a large pool: 2,600 engines,
- * a seventh of them at the wrong stage, would take minutes one by one.
+ * A change makes an engine unavailable for seconds, so only one is made at a time, or this share of a large pool: with
+ * 2,600 engines, a seventh of them at the wrong stage, changing one by one would take minutes.
  */
-const changedShare = 0.02;
+const maxChangedShare = 0.02;
 
 export function planStageChanges(options: StagePlanOptions): StageChange[] {
-  const mostChanges = Math.max(1, Math.floor(options.engines.length * changedShare));
+  const maxChanges = Math.max(1, Math.floor(options.engines.length * maxChangedShare));
   const changes: StageChange[] = [];
   const pending = new Map(options.pending);
-  for (let planned = 0; planned < mostChanges; planned += 1) {
+  for (let planned = 0; planned < maxChanges; planned += 1) {
     const change = planStageChange({ ...options, pending });
     if (change === undefined) {
       return changes;
@@ -40,20 +40,20 @@
   const { engines, pending, prefillShare } = options;
   const stageOf = (server: BackendServer) => pending.get(server.id) ?? server.stage;
   const prefill = engines.filter((server) => stageOf(server) === stages.prefill);
-  const wanted = wantedPrefillCount(engines.length, prefillShare);
-  const free = engines.filter(({ id }) => !pending.has(id));
-  if (prefill.length > wanted) {
-    const givers = free.filter(({ stage }) => stage === stages.prefill);
-    return changeTo(stages.decode, pickFromCentre(givers, prefill, 'most'));
+  const targetCount = wantedPrefillCount(engines.length, prefillShare);
+  const unchanged = engines.filter(({ id }) => !pending.has(id));
+  if (prefill.length > targetCount) {
+    const candidates = unchanged.filter(({ stage }) => stage === stages.prefill);
+    return changeTo(stages.decode, pickByDataCentre(candidates, prefill, 'most'));
   }
-  if (prefill.length < wanted) {
-    const givers = free.filter(({ stage }) => stage === stages.decode);
-    return changeTo(stages.prefill, pickFromCentre(givers, prefill, 'fewest'));
+  if (prefill.length < targetCount) {
+    const candidates = unchanged.filter(({ stage }) => stage === stages.decode);
+    return changeTo(stages.prefill, pickByDataCentre(candidates, prefill, 'fewest'));
   }
   return undefined;
 }
 
-/** At least one of each stage where there are two engines. */
+/** At least one engine for each stage if there are two or more engines. */
 export function wantedPrefillCount(engineCount: number, prefillShare: number): number {
   if (engineCount < 2) {
     return 0;
@@ -65,9 +65,9 @@
   return server === undefined ? undefined : { server, stage };
 }
 
-/** Keeps prefill engines spread over the data centres. */
-function pickFromCentre(
-  givers: readonly BackendServer[],
+/** Chooses the engine to change so that prefill engines stay spread over the data centres. */
+function pickByDataCentre(
+  candidates: readonly BackendServer[],
   prefill: readonly BackendServer[],
   which: 'most' | 'fewest',
 ): BackendServer | undefined {
@@ -78,8 +78,8 @@
     const difference = (counts.get(left.dataCentre) ?? 0) - (counts.get(right.dataCentre) ?? 0);
     return difference === 0 ? left.id < right.id : direction * difference < 0;
   };
-  return givers.reduce<BackendServer | undefined>(
-    (best, giver) => (best === undefined || isBetter(giver, best) ? giver : best),
+  return candidates.reduce<BackendServer | undefined>(
+    (best, candidate) => (best === undefined || isBetter(candidate, best) ? candidate : best),
     undefined,
   );
 }
--- a/packages/routing/src/streamRelay.ts
+++ b/packages/routing/src/streamRelay.ts
@@ -1,6 +1,6 @@
 /**
- * Passes a stream's events on, whole and in order. The caller's answer begins with the first event, so that
- * a run which breaks before it can still end in an honest refusal or go on elsewhere.
+ * Relays a stream's events to the caller, complete and in order. The answer begins with the first event, so that a run
+ * that breaks earlier can still be refused or retried on another server.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { BackendAnswer } from './backendApi';
@@ -13,18 +13,18 @@
 export type RelayOutcome = { kind: 'whole' } | { kind: 'broken'; detail: string };
 
 export interface StreamRelay {
-  /** Relays one run's answer to its end; `onProgress` is called with each part of it. */
+  /** Relays one run's answer to its end; `onProgress` is called for each chunk received. */
   relay(answer: BackendAnswer, onProgress: () => void): Promise<RelayOutcome>;
   hasBegun(): boolean;
-  /** Called with the next event that comes. */
+  /** The listener is called once, when the next event arrives. */
   onFirstEvent(listener: () => void): void;
-  /** Events of the whole answer so far, those of earlier runs too. */
+  /** Events of the whole answer so far, including those of earlier runs. */
   eventCount(): number;
-  /** From this answer's first event to its last. */
-  eventsTookMs(): number;
-  /** The last event that the caller has. */
+  /** Time from the first event that was relayed to the last. */
+  eventsDurationMs(): number;
+  /** Id of the last event that the caller has received. */
   lastEventId(): number | undefined;
-  /** Ends the answer so that it cannot look complete. */
+  /** Ends the answer so that the caller can tell that it is incomplete. */
   cut(): void;
 }
 
@@ -62,9 +62,9 @@
     return new Promise((resolve) => {
       answer.body.read({
         onData(chunk) {
-          const fresh = splitter.push(chunk).filter(isFresh);
-          if (fresh.length > 0) {
-            forward(answer, fresh);
+          const newEvents = splitter.push(chunk).filter(isNewEvent);
+          if (newEvents.length > 0) {
+            forward(answer, newEvents);
           }
           onProgress();
         },
@@ -82,8 +82,8 @@
     });
   }
 
-  /** A run that goes on elsewhere may repeat events that the caller has. */
-  function isFresh({ id }: StreamEvent): boolean {
+  /** A resumed run may repeat events that the caller has already received. */
+  function isNewEvent({ id }: StreamEvent): boolean {
     return id === undefined || lastId === undefined || id > lastId;
   }
 
@@ -106,7 +106,7 @@
       onNextEvent = listener;
     },
     eventCount: () => eventCount,
-    eventsTookMs: () => lastEventAtMs - (firstEventAtMs ?? lastEventAtMs),
+    eventsDurationMs: () => lastEventAtMs - (firstEventAtMs ?? lastEventAtMs),
     lastEventId: () => lastId,
     cut: () => writer?.cut(),
   };
--- a/packages/routing/src/streamRequest.ts
+++ b/packages/routing/src/streamRequest.ts
@@ -1,54 +1,54 @@
 /**
- * Serves a request of a stream route in one or more runs. A stream that breaks goes on in the next run where the
- * route allows it, inside the same answer.
+ * Serves a request of a stream route in one or more runs. If the route allows it, a stream that breaks is resumed by
+ * the next run, within the same answer.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import { notRunReasons, type EngineSettings, type Refusal } from './model';
 import type { PrefillStage } from './prefillStage';
-import { lostRefusal, noteStep, remainingMs, type RequestState } from './requestState';
+import { createLostRefusal, noteStep, remainingMs, type RequestState } from './requestState';
 import type { RouterParts } from './routerParts';
 import { createStreamRelay, type StreamRelay } from './streamRelay';
 import { runStream, type RunOutcome } from './streamRun';
 
-/** Callers that lost their place to a server's failure come back when others have taken over. */
+/** Default Retry-After: by then other servers have usually taken over from one that failed. */
 const defaultRetryAfterMs = 1_200;
-/** Places that are tried for one request; each try waits for memory anew. */
+/** Runs that are tried for one request; each of them waits for memory again. */
 const maxRounds = 3;
 
 export async function serveStream(
   state: RequestState,
   engine: EngineSettings,
-  parts: RouterParts,
+  deps: RouterParts,
   prefillStage: PrefillStage,
 ): Promise<void> {
   const relay = createStreamRelay(state);
   const size = state.request.prompt ?? { promptTokens: 1, maxOutputTokens: 1 };
   let outcome: RunOutcome = { kind: 'not-run', reason: notRunReasons.noServer };
-  let mayGoOn = true;
-  for (let round = 1; mayGoOn && isWanted(state); round += 1) {
-    outcome = await runStream({ state, engine, parts, prefillStage, relay, size });
+  let mayContinue = true;
+  for (let round = 1; mayContinue && isCallerWaiting(state); round += 1) {
+    outcome = await runStream({ state, engine, deps, prefillStage, relay, size });
     noteStep(state, outcome.kind === 'broken' ? `broken: ${outcome.detail}` : outcome.kind);
-    mayGoOn = round < maxRounds && mayTryAgain(state, outcome, parts);
+    mayContinue = round < maxRounds && mayRetry(state, outcome, deps);
   }
   finish(state, relay, outcome);
 }
 
-function isWanted(state: RequestState): boolean {
+function isCallerWaiting(state: RequestState): boolean {
   return remainingMs(state) > 0 && !state.exchange.signal.aborted;
 }
 
-function mayTryAgain(state: RequestState, outcome: RunOutcome, parts: RouterParts): boolean {
+function mayRetry(state: RequestState, outcome: RunOutcome, deps: RouterParts): boolean {
   switch (outcome.kind) {
     case 'ended':
       return false;
     case 'not-run':
-      // Its place was lost between the reservation and the run: nothing has run, so any route may go on.
-      return outcome.reason === notRunReasons.rejected && takeAttempt(state, 'rejected', parts);
+      // The server refused the run after the reservation. Nothing has run, so a retry is safe on any route.
+      return outcome.reason === notRunReasons.rejected && takeAttempt(state, 'rejected', deps);
     case 'broken':
       return (
         state.route.allowsResume &&
         state.sentCount < state.route.maxAttempts &&
-        takeAttempt(state, 'resume', parts)
+        takeAttempt(state, 'resume', deps)
       );
   }
 }
@@ -76,7 +76,7 @@
   }
   const refusal: Refusal =
     outcome.kind === 'broken' || state.sentCount > 0
-      ? lostRefusal(state, outcome.kind === 'broken' ? outcome.detail : 'not resumed')
+      ? createLostRefusal(state, outcome.kind === 'broken' ? outcome.detail : 'not resumed')
       : {
           kind: 'not-run',
           reason: outcome.reason,
--- a/packages/routing/src/streamRun.ts
+++ b/packages/routing/src/streamRun.ts
@@ -1,4 +1,4 @@
-/** One run of a stream: memory to decode in, then the prompt read, then its events passed on. */
+/** One run of a stream: reserves decode memory, has the prompt prefilled, then relays the decoded events. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { PrefillResult } from './backendApi';
 import type { Placement, PlacementOutcome } from './decodePlacement';
@@ -20,37 +20,38 @@
   /** The caller has its final answer. */
   | { kind: 'ended' }
   | { kind: 'not-run'; reason: NotRunReason; retryAfterMs?: number }
-  /** Work may have been done; the stream may go on elsewhere. */
+  /** The server may have done work; the stream may continue on another server. */
   | { kind: 'broken'; detail: string };
 
 export interface StreamRun {
   state: RequestState;
   engine: EngineSettings;
-  parts: RouterParts;
+  deps: RouterParts;
   prefillStage: PrefillStage;
   relay: StreamRelay;
   size: PromptSize;
 }
 
-/** From the last moment of a useful start back to now: the way to the engine and its first token. */
-const startMarginMs = 60;
-const leastPatienceMs = 2_000;
-/** The rest is for a prefill that takes longer than expected, and the way to the caller. */
-const patienceShare = 0.75;
+/** Time from the start of a run to its first event, besides the prefill: the network and the first token. */
+const startOverheadMs = 60;
+const minEventTimeoutMs = 2_000;
+/** The rest is a margin for a prefill that takes longer than expected and for the network to the caller. */
+const eventTimeoutShare = 0.75;
 /**
- * Of a caller's patience. An engine that is alive may pause a stream for want of memory and take it up again,
- * so only one that answers nobody is given up early.
+ * Shares of the event timeout after which a run without events is abandoned. A live engine may pause a stream for lack
+ * of memory and resume it later, so only a run on an unresponsive engine is abandoned early.
  */
-const quietShare = 1;
-const silentQuietShare = 0.2;
+const stallTimeoutShare = 1;
+const unresponsiveTimeoutShare = 0.2;
 /**
- * The same for a run that can't go on elsewhere: a server that is cut off for a moment may still end it. Without this
- * the caller of a server that lost power waits for seconds, to its own deadline, for an answer that never comes.
+ * The same for a run that cannot continue elsewhere: a server that was only unreachable for a moment may still finish
+ * it. Without this limit, the caller of a server that lost power would wait several seconds, until its own deadline,
+ * for an answer that never arrives.
  */
-const lastRunSilentShare = 0.4;
+const lastRunUnresponsiveTimeoutShare = 0.4;
 
 export async function runStream(run: StreamRun): Promise<RunOutcome> {
-  const placed = await findPlace(run);
+  const placed = await placeRun(run);
   if (placed.kind !== 'placed') {
     const { retryAfterMs } = placed;
     return { kind: 'not-run', reason: notRunReasons.noCapacity, retryAfterMs };
@@ -61,50 +62,50 @@
   return outcome;
 }
 
-async function findPlace(run: StreamRun): Promise<PlacementOutcome> {
-  const { state, engine, parts, prefillStage, size, relay } = run;
+async function placeRun(run: StreamRun): Promise<PlacementOutcome> {
+  const { state, engine, deps, prefillStage, size, relay } = run;
   const { request, route, service } = state;
   const startedAtMs = monotonicNowMs();
-  const expectedMs = prefillStage.expectedMs(service.name, size.promptTokens) + startMarginMs;
-  const stream = parts.streamSizes.expect(route.name, size, relay.eventCount());
-  // A caller that has events already waits anew for the next one.
+  const expectedMs = prefillStage.expectedMs(service.name, size.promptTokens) + startOverheadMs;
+  const stream = deps.streamSizes.expect(route.name, size, relay.eventCount());
+  // For a caller that has already received events, the timeout restarts.
   const isResumed = state.sentCount > 0;
-  const waitsFromMs = isResumed ? startedAtMs : request.arrivedAtMs;
-  const patienceAtMs = waitsFromMs + callerPatienceMs(route);
-  const outcome = await parts.placement.place({
+  const waitingSinceMs = isResumed ? startedAtMs : request.arrivedAtMs;
+  const eventTimeoutAtMs = waitingSinceMs + eventTimeoutMs(route);
+  const outcome = await deps.placement.place({
     serviceName: service.name,
     engine,
     stream,
-    // No more than it takes at once: an engine pauses running streams for memory that is set aside and not yet used.
-    // With three quarters of the expected answer set aside, 25 to 44 of some 330 streams were paused; with this, 3 to 7.
+    // Only what the stream needs at its start: an engine pauses running streams to honour reservations not yet used.
+    // With three quarters of the expected answer reserved, 25 to 44 of some 330 streams were paused; with this, 3 to 7.
     reservedTokens: stream.promptTokens + stream.emittedTokens,
     isResumed,
     priority: state.priority,
     arrivedAtMs: request.arrivedAtMs,
-    holdMs: expectedMs + stream.medianOutputTokens / parts.streamSizes.tokensPerMs(),
-    onTimeUntilMs: request.arrivedAtMs + route.targetLatencyMs - expectedMs,
-    giveUpAtMs: Math.min(patienceAtMs, state.endsAtMs) - expectedMs,
+    expectedHoldMs: expectedMs + stream.medianOutputTokens / deps.streamSizes.tokensPerMs(),
+    latestStartAtMs: request.arrivedAtMs + route.targetLatencyMs - expectedMs,
+    expiresAtMs: Math.min(eventTimeoutAtMs, state.endsAtMs) - expectedMs,
     excludedIds: state.failedServerIds,
     preferredId: state.cachedAtServerId,
     signal: state.signal,
   });
   const waitedMs = monotonicNowMs() - startedAtMs;
-  parts.metrics.observePlacement(service.name, waitedMs);
+  deps.metrics.observePlacement(service.name, waitedMs);
   noteStep(state, `${outcome.kind} ${Math.round(waitedMs)}ms`);
   return outcome;
 }
 
-/** Callers abandon a stream that shows no event for the longest of these. */
-function callerPatienceMs({ targetLatencyMs, targetGapMs }: Route): number {
-  return patienceShare * Math.max(leastPatienceMs, 4 * targetLatencyMs, 8 * targetGapMs);
+/** Callers abandon a stream without an event for the longest of these times; the result leaves a margin before that. */
+function eventTimeoutMs({ targetLatencyMs, targetGapMs }: Route): number {
+  return eventTimeoutShare * Math.max(minEventTimeoutMs, 4 * targetLatencyMs, 8 * targetGapMs);
 }
 
-/** Reads the prompt and decodes it in the reserved place; releases what is not used. */
+/** Has the prompt prefilled and decodes it in the reserved memory; releases whatever stays unused. */
 async function runAt(run: StreamRun, placement: Placement): Promise<RunOutcome> {
-  const { state, parts, prefillStage, size } = run;
+  const { state, deps, prefillStage, size } = run;
   const { server } = placement.reservation;
-  if (!state.mayStillRun()) {
-    release(run, placement, undefined);
+  if (!state.isAccessGranted()) {
+    releaseUnused(run, placement, undefined);
     return { kind: 'not-run', reason: notRunReasons.staleConfiguration };
   }
   const prefill: PrefillOutcome =
@@ -112,49 +113,49 @@
       ? { kind: 'at-decode' }
       : await prefillStage.run(state, size.promptTokens, server);
   if (prefill.kind === 'failed' || state.signal.aborted) {
-    release(run, placement, prefill.kind === 'done' ? prefill.result : undefined);
+    releaseUnused(run, placement, prefill.kind === 'done' ? prefill.result : undefined);
     return { kind: 'not-run', reason: notRunReasons.noCapacity };
   }
   const result = prefill.kind === 'done' ? prefill.result : undefined;
-  const lostReason = reasonNotToRun(run, server);
-  if (lostReason !== undefined) {
-    release(run, placement, result);
-    return { kind: 'not-run', reason: lostReason };
+  const notRunReason = reasonNotToDecode(run, server);
+  if (notRunReason !== undefined) {
+    releaseUnused(run, placement, result);
+    return { kind: 'not-run', reason: notRunReason };
   }
-  const endOwnPrompt =
-    result === undefined ? parts.engineLoads.beginOwnPrompt(server.id) : () => undefined;
-  run.relay.onFirstEvent(endOwnPrompt);
+  const endLocalPrefill =
+    result === undefined ? deps.engineLoads.beginLocalPrefill(server.id) : () => undefined;
+  run.relay.onFirstEvent(endLocalPrefill);
   const outcome = await decode(run, placement, result);
-  endOwnPrompt();
+  endLocalPrefill();
   if (outcome.kind === 'not-run' && result !== undefined) {
-    parts.metrics.countWastedPrefillTokens(size.promptTokens);
+    deps.metrics.countWastedPrefillTokens(size.promptTokens);
   }
   return outcome;
 }
 
-/** Reading the prompt may have taken long: the server may want nothing more, and the key may have been taken away. */
-function reasonNotToRun({ state, parts }: StreamRun, server: BackendServer) {
-  if (!state.mayStillRun()) {
-    noteStep(state, 'key no longer proved');
+/** During a long prefill the server may have stopped accepting requests, or the caller's key may have been revoked. */
+function reasonNotToDecode({ state, deps }: StreamRun, server: BackendServer) {
+  if (!state.isAccessGranted()) {
+    noteStep(state, 'access no longer granted');
     return notRunReasons.staleConfiguration;
   }
-  if (!parts.words.mayGet(server)) {
+  if (!deps.words.mayGet(server)) {
     noteStep(state, `decode ${server.id} withheld`);
     return notRunReasons.rejected;
   }
   return undefined;
 }
 
-/** Gives back what was set aside for a run that does not come about. */
-function release(
-  { parts, size }: StreamRun,
+/** Releases the reservation and the prefill result of a run that is not started. */
+function releaseUnused(
+  { deps, size }: StreamRun,
   { reservation }: Placement,
   result: PrefillResult | undefined,
 ): void {
-  parts.backend.releaseReservation(reservation);
+  deps.backend.releaseReservation(reservation);
   if (result !== undefined) {
-    parts.backend.releasePrefill(result);
-    parts.metrics.countWastedPrefillTokens(size.promptTokens);
+    deps.backend.releasePrefill(result);
+    deps.metrics.countWastedPrefillTokens(size.promptTokens);
   }
 }
 
@@ -163,30 +164,33 @@
   placement: Placement,
   prefill: PrefillResult | undefined,
 ): Promise<RunOutcome> {
-  const gone = new AbortController();
-  const watch = watchRun(run, placement.reservation.server, () => gone.abort());
+  const stalled = new AbortController();
+  const watch = watchRun(run, placement.reservation.server, () => stalled.abort());
   try {
-    return await decodeWatched(run, placement, prefill, { signal: gone.signal, watch });
+    return await decodeWatched(run, placement, prefill, { signal: stalled.signal, watch });
   } finally {
     watch.stop();
   }
 }
 
-/** A run that is quiet ends early where it may go on elsewhere, or where its server shows that nothing runs any more. */
+/**
+ * Abandons a run without events early if it can continue elsewhere, or if its server is unresponsive or has restarted.
+ */
 function watchRun(
-  { state, parts }: StreamRun,
+  { state, deps }: StreamRun,
   server: BackendServer,
-  onGone: () => void,
+  onStalled: () => void,
 ): QuietWatch {
   const { route, sentCount } = state;
-  const mayGoOn = route.allowsResume && sentCount + 1 < route.maxAttempts;
-  const patienceMs = callerPatienceMs(route);
+  const mayContinue = route.allowsResume && sentCount + 1 < route.maxAttempts;
+  const timeoutMs = eventTimeoutMs(route);
   return startQuietWatch({
-    quietMs: mayGoOn ? quietShare * patienceMs : undefined,
-    silentServerQuietMs: (mayGoOn ? silentQuietShare : lastRunSilentShare) * patienceMs,
-    isServerSilent: () => parts.engineLoads.isSilent(server.id),
-    isServerRestarted: () => parts.directory.hasRestarted(server),
-    onGone,
+    quietMs: mayContinue ? stallTimeoutShare * timeoutMs : undefined,
+    silentServerQuietMs:
+      (mayContinue ? unresponsiveTimeoutShare : lastRunUnresponsiveTimeoutShare) * timeoutMs,
+    isServerSilent: () => deps.engineLoads.isUnresponsive(server.id),
+    isServerRestarted: () => deps.directory.hasRestarted(server),
+    onGone: onStalled,
   });
 }
 
@@ -196,15 +200,15 @@
   prefill: PrefillResult | undefined,
   { signal, watch }: { signal: AbortSignal; watch: QuietWatch },
 ): Promise<RunOutcome> {
-  const { state, parts, relay } = run;
+  const { state, deps, relay } = run;
   const { server } = reservation;
-  const leftMs = remainingMs(state);
+  const availableMs = remainingMs(state);
   if (prefill === undefined) {
     noteStep(state, 'prompt at decode');
   }
-  const outcome = await parts.backend.run(server, state.request, {
-    remainingMs: leftMs,
-    headTimeoutMs: leftMs,
+  const outcome = await deps.backend.run(server, state.request, {
+    remainingMs: availableMs,
+    headTimeoutMs: availableMs,
     signal: AbortSignal.any([state.signal, signal]),
     reservation,
     prefill,
@@ -217,25 +221,25 @@
   }
   state.sentCount += 1;
   if (outcome.kind === 'lost') {
-    noteBroken(run, server.id, signal.aborted);
+    noteBrokenRun(run, server.id, signal.aborted);
     return { kind: 'broken', detail: outcome.detail };
   }
   noteStep(state, `decode ${server.id} ${outcome.value.status}`);
   const relayed = await relay.relay(outcome.value, () => {
     watch.noteProgress();
-    stream.noteEmitted(parts.streamSizes.emittedTokens(relay.eventCount()));
+    stream.noteEmitted(deps.streamSizes.emittedTokens(relay.eventCount()));
   });
   if (relayed.kind === 'whole') {
-    noteLength(run);
-    parts.health.record(server.id, 'success', monotonicNowMs());
+    noteOutputLength(run);
+    deps.health.record(server.id, 'success', monotonicNowMs());
     return { kind: 'ended' };
   }
-  noteBroken(run, server.id, signal.aborted);
+  noteBrokenRun(run, server.id, signal.aborted);
   return { kind: 'broken', detail: relayed.detail };
 }
 
-function noteLength({ state, parts, relay, size }: StreamRun): void {
-  const { streamSizes, metrics } = parts;
+function noteOutputLength({ state, deps, relay, size }: StreamRun): void {
+  const { streamSizes, metrics } = deps;
   const className = state.route.name;
   const events = relay.eventCount();
   const emittedTokens = streamSizes.emittedTokens(events);
@@ -243,21 +247,21 @@
     const { medianOutputTokens } = streamSizes.expect(className, size, 0);
     metrics.observeLengthForecast(state.service.name, medianOutputTokens / emittedTokens);
   }
-  streamSizes.observeEnd({ className, size, events, durationMs: relay.eventsTookMs() });
+  streamSizes.observeEnd({ className, size, events, durationMs: relay.eventsDurationMs() });
 }
 
 /**
- * The connection broke, which need not be the server's end. It still has the prompt in memory, so the next
- * try goes there first and reads nothing anew; after a second break it goes elsewhere.
+ * A broken connection does not mean that the server is down. It still has the prompt in its cache, so the next attempt
+ * prefers it and saves the prefill; after a second break the stream moves to another server.
  */
-function noteBroken({ state, parts }: StreamRun, serverId: string, isGone: boolean): void {
-  if (state.cachedAtServerId === undefined && !isGone) {
+function noteBrokenRun({ state, deps }: StreamRun, serverId: string, hasStalled: boolean): void {
+  if (state.cachedAtServerId === undefined && !hasStalled) {
     state.cachedAtServerId = serverId;
   } else {
     state.cachedAtServerId = undefined;
     state.failedServerIds.add(serverId);
   }
   if (!state.signal.aborted) {
-    parts.health.record(serverId, 'failure', monotonicNowMs());
+    deps.health.record(serverId, 'failure', monotonicNowMs());
   }
 }
--- a/packages/routing/src/streamSizes.ts
+++ b/packages/routing/src/streamSizes.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of the sizes of streams: how many tokens an event holds, how long answers become, and how fast they
- * come. Learned from the streams of this process, for it sees their events, and from the engines' reports.
+ * Estimates the sizes of streams: tokens per event, output length and emission rate. Learned from the streams that this
+ * process relays, whose events it sees, and from the engines' reports.
  */
 import {
   createEventSize,
@@ -11,41 +11,41 @@
 import type { StreamOutlook } from '@bluebellhitch/protocol';
 import type { PromptSize } from './model';
 
-/** A stream that has come to its own end. */
+/** A stream that has ended normally. */
 export interface EndedStream {
   className: string;
   size: PromptSize;
   events: number;
-  /** From its first event to its last. */
+  /** Time from its first event to its last. */
   durationMs: number;
 }
 
 export interface StreamSizes {
-  /** A stream of this class that has so many events already. */
+  /** Estimate for a stream of this class that has emitted this many events so far. */
   expect(className: string, size: PromptSize, events: number): StreamOutlook;
   observeEnd(stream: EndedStream): void;
   observeRuns(serverId: string, runs: readonly ReportedRun[]): void;
   forget(serverId: string): void;
   emittedTokens(events: number): number;
   tokensPerMs(): number;
-  /** How narrow lengths lie around their median. */
+  /** Shape of the log-logistic distribution of output lengths: the larger, the narrower around the median. */
   lengthShape(): number;
 }
 
-/** A log-logistic variable of shape k has a logarithm with deviation 1.81 / k. */
-const shapeOfDeviation = Math.PI / Math.sqrt(3);
-/** Until answers have ended: the half of what a caller says, and as much again. */
+/** The logarithm of a log-logistic variable of shape k has the standard deviation 1.81 / k. */
+const shapeTimesDeviation = Math.PI / Math.sqrt(3);
+/** Used until answers have ended: lengths differ from the caller's estimate by about half, up or down. */
 const initialDeviation = 0.5;
 const smoothing = 0.05;
-export const initialLengthShape = shapeOfDeviation / initialDeviation;
-/** Until streams have been measured: some thousand tokens in ten seconds. */
+export const initialLengthShape = shapeTimesDeviation / initialDeviation;
+/** Used until streams have been measured: some thousand tokens in ten seconds. */
 export const initialTokensPerMs = 0.3;
 
 export function createStreamSizes(): StreamSizes {
   const eventSize = createEventSize();
   const lengths = createOutputLengths();
   const deviation = createRunningEstimate({ smoothing, initialMean: initialDeviation });
-  const pace = createRunningEstimate({ smoothing, initialMean: initialTokensPerMs });
+  const emissionRate = createRunningEstimate({ smoothing, initialMean: initialTokensPerMs });
 
   const emittedTokens = (events: number) => events * (eventSize.tokens() ?? 0);
 
@@ -73,13 +73,13 @@
       }
       lengths.observe(className, expectedOutputTokens, events);
       if (durationMs > 0 && eventSize.tokens() !== undefined) {
-        pace.observe(emittedTokens(events) / durationMs);
+        emissionRate.observe(emittedTokens(events) / durationMs);
       }
     },
     observeRuns: eventSize.report,
     forget: eventSize.forget,
     emittedTokens,
-    tokensPerMs: pace.mean,
-    lengthShape: () => shapeOfDeviation / deviation.mean(),
+    tokensPerMs: emissionRate.mean,
+    lengthShape: () => shapeTimesDeviation / deviation.mean(),
   };
 }
