--- a/packages/routing/src/decodePlacement.ts
+++ b/packages/routing/src/decodePlacement.ts
@@ -261,10 +261,8 @@
   }
 
   function hasLostMostServers(waiter: Waiter, candidatesOf: CandidatesOf): boolean {
-    const listedCount = pools.usable(waiter.serviceName, stages.decode).length;
-    return (
-      listedCount === 0 || candidatesOf(waiter, 'usable').length < minHealthyShare * listedCount
-    );
+    const listed = pools.usable(waiter.serviceName, stages.decode).length;
+    return listed === 0 || candidatesOf(waiter, 'usable').length < minHealthyShare * listed;
   }
 
   function isOnTime({ isResumed, latestStartAtMs }: Waiter, nowMs: number): boolean {
