--- a/packages/routing/src/engineLoads.ts
+++ b/packages/routing/src/engineLoads.ts
@@ -262,12 +262,8 @@
     },
     forecast,
     isFullFor(serverId, tokens) {
-      const lastRejection = engines.get(serverId)?.lastRejection;
-      return (
-        lastRejection !== undefined &&
-        lastRejection.untilMs > monotonicNowMs() &&
-        tokens >= lastRejection.tokens
-      );
+      const last = engines.get(serverId)?.lastRejection;
+      return last !== undefined && last.untilMs > monotonicNowMs() && tokens >= last.tokens;
     },
     prefillBacklogTokens(serverId) {
       const state = stateOf(serverId);
