--- a/packages/decisions/__tests__/admissionQueue.test.ts
+++ b/packages/decisions/__tests__/admissionQueue.test.ts
@@ -25,15 +25,15 @@
   t.deepEqual(takeAll(queue), ['early', 'middle', 'late']);
 });
 
-// One institution sends a burst. Without fair order everybody else waits behind all of it.
-test('a burst of one institution does not hold back another', (t) => {
+// Without a fair order, all other institutions would wait behind the whole burst.
+test('a burst of one institution does not delay another', (t) => {
   const queue = createAdmissionQueue();
   Array.from({ length: 5 }, (_, index) => queue.offer(waiter(`burst-${index}`)));
   queue.offer(waiter('other', { institution: 'sahlat', deadlineAtMs: 5000 }));
   t.true(takeAll(queue).indexOf('other') <= 1);
 });
 
-test('classes share by their weights', (t) => {
+test('classes are served in proportion to their weights', (t) => {
   const queue = createAdmissionQueue({
     classes: new Map([
       ['urgent', { weight: 3, queueLimit: 64 }],
@@ -48,7 +48,7 @@
   t.is(firstEight.filter((id) => id.startsWith('urgent')).length, 6);
 });
 
-test('each class has its own limit', (t) => {
+test('each class has its own queue limit', (t) => {
   const queue = createAdmissionQueue({
     classes: new Map([['bulk', { weight: 1, queueLimit: 1 }]]),
   });
@@ -60,7 +60,7 @@
   t.is(queue.offer(waiter('b', { className: 'bulk' })).kind, 'queued');
 });
 
-test('returns those whose waiting time is over, once', (t) => {
+test('returns expired waiters once', (t) => {
   const queue = createAdmissionQueue();
   queue.offer(waiter('a', { waitUntilMs: 100 }));
   queue.offer(waiter('b', { waitUntilMs: 200 }));
--- a/packages/decisions/__tests__/backoff.test.ts
+++ b/packages/decisions/__tests__/backoff.test.ts
@@ -14,7 +14,7 @@
   t.true(largest(20) < 1_000);
 });
 
-test('no delay reaches into the time that the retry needs', (t) => {
+test('no delay uses up time that the retry itself needs', (t) => {
   const late = { ...options, retryIndex: 9, remainingMs: 100, reserveMs: 80 };
   const delays = Array.from({ length: 200 }, () => backoffDelayMs(late) ?? NaN);
   t.true(delays.every((delayMs) => delayMs < 20));
--- a/packages/decisions/__tests__/boundedMap.test.ts
+++ b/packages/decisions/__tests__/boundedMap.test.ts
@@ -3,7 +3,7 @@
 import { createBoundedMap } from '../src/boundedMap';
 import { fixedSeed } from './helpers/fixtures';
 
-test('never holds more than its bound and keeps the newest writes', (t) => {
+test('never holds more than maxEntries and keeps the most recent writes', (t) => {
   const keys = fc.array(fc.integer({ min: 0, max: 30 }), { maxLength: 200, size: 'max' });
   fc.assert(
     fc.property(keys, fc.integer({ min: 1, max: 10 }), (written, maxEntries) => {
--- a/packages/decisions/__tests__/leaseTable.test.ts
+++ b/packages/decisions/__tests__/leaseTable.test.ts
@@ -29,12 +29,12 @@
   t.is(table.totals().heldKvBytes, 20);
 });
 
-test('refuses for good what exceeds the whole memory', (t) => {
+test('permanently refuses a reservation larger than the whole memory', (t) => {
   t.deepEqual(tableOf(20).reserve(reservation('a', { kvBytes: 21 }), 0), { kind: 'never' });
   t.deepEqual(tableOf(20, 0).reserve(reservation('a'), 0), { kind: 'never' });
 });
 
-test('slots bound the leases as memory does', (t) => {
+test('leases are limited by slots as well as by memory', (t) => {
   const table = tableOf(1000, 2);
   table.reserve(reservation('a'), 0);
   table.reserve(reservation('b'), 0);
@@ -57,9 +57,9 @@
   t.true(table.advance('next', 'streaming', 1000));
 });
 
-// Two callers are told that the same memory will be free; one of them then waits for it in vain after
-// its prefill is done. The first promise has to count against the second request.
-test('memory is promised once', (t) => {
+// Guards against promising the same memory to two requests, one of which would then wait in vain after its
+// prefill: the first promise must count against the second request.
+test('memory is promised only once', (t) => {
   const table = tableOf(10);
   table.reserve(reservation('running', { expectedHoldMs: 200 }), 0);
   table.reserve(reservation('first', { neededInMs: 250, expectedHoldMs: 500 }), 0);
@@ -75,8 +75,8 @@
   t.deepEqual(table.reserve(reservation('next'), 900), { kind: 'wait', usableInMs: 100 });
 });
 
-// The entry dies, and its callers with it, while its streams hold memory that nobody will read. Its
-// heartbeats stop; 1.5 s after the last one its leases have lapsed, and only its own.
+// Guards against memory held for ever by streams of an entry that died: its heartbeats stop, and 1.5 s after
+// the last one its leases, and only those, have lapsed.
 test('leases without a heartbeat lapse', (t) => {
   const table = tableOf(100);
   const other = { entryId: 'entry-2', entryIncarnation: 'first' };
@@ -90,8 +90,8 @@
   );
 });
 
-// An entry restarts under its old name. Its new heartbeats must not keep alive what its earlier
-// incarnation held, since the new one does not know of it and will never end it.
+// An entry restarts under the same id. Heartbeats of the new incarnation must not renew leases of the earlier
+// one, which the new one does not know and would never end.
 test('heartbeats of a new incarnation do not renew leases of the earlier one', (t) => {
   const table = tableOf(100);
   const restarted = { ...owner, entryIncarnation: 'second' };
@@ -104,9 +104,9 @@
   );
 });
 
-// The agent itself is paused for 5 s. When it resumes, the heartbeats of live entries wait unread, and
-// cutting their streams would punish them for the agent's pause.
-test('a pause of this process is not held against the entries', (t) => {
+// The agent itself is paused for 5 s. When it resumes, heartbeats of live entries are still unread, and their
+// streams must not be cut off.
+test('a pause of this process does not make leases lapse', (t) => {
   const table = tableOf(100);
   table.reserve(reservation('a'), 0);
   table.lapsed(100);
@@ -137,7 +137,7 @@
   t.is(table.reserve(reservation('b'), 0).kind, 'granted');
 });
 
-test('an export keeps its memory and gives back its slot', (t) => {
+test('an export keeps its memory and releases its slot', (t) => {
   const table = tableOf(100, 1);
   table.reserve(reservation('a', { purpose: 'prefill' }), 0);
   table.advance('a', 'exported', 500);
@@ -145,8 +145,8 @@
   t.is(table.reserve(reservation('b'), 0).kind, 'granted');
 });
 
-// After a restart the engine holds memory of streams that this process does not know. Granting that
-// memory again would overrun the engine.
+// After a restart the engine holds memory of streams that this process does not know. Granting that memory
+// again would exceed the engine's capacity.
 test('adopted memory is held although no entry owns it', (t) => {
   const table = tableOf(10);
   table.adopt('unknown', 8, 0);
@@ -155,7 +155,7 @@
   t.is(table.reserve(reservation('a'), 0).kind, 'granted');
 });
 
-test('a shrunken capacity grants nothing more until the held memory fits', (t) => {
+test('after the capacity shrinks, nothing is granted until the held memory fits', (t) => {
   const table = tableOf(20);
   table.reserve(reservation('a'), 0);
   table.reserve(reservation('b'), 0);
@@ -194,27 +194,27 @@
   fc.record({ kind: fc.constant('wait' as const), durationMs: fc.integer({ min: 1, max: 900 }) }),
 );
 
-interface Ledger {
+interface LeaseCounts {
   granted: Map<string, number>;
   ended: Map<string, number>;
 }
 
-function tally(counts: Map<string, number>, attemptId: string, happened: boolean): void {
-  counts.set(attemptId, (counts.get(attemptId) ?? 0) + (happened ? 1 : 0));
+function increment(counter: Map<string, number>, attemptId: string, isCounted: boolean): void {
+  counter.set(attemptId, (counter.get(attemptId) ?? 0) + (isCounted ? 1 : 0));
 }
 
-function applyStep(table: LeaseTable, step: Step, nowMs: number, ledger: Ledger): void {
+function applyStep(table: LeaseTable, step: Step, nowMs: number, counts: LeaseCounts): void {
   const attemptId = 'id' in step ? `attempt-${step.id}` : '';
   const actions: Record<Step['kind'], () => void> = {
     reserve: () => {
       const isNew = table.get(attemptId) === undefined;
       const input = reservation(attemptId, step as Partial<ReserveInput>);
-      tally(ledger.granted, attemptId, isNew && table.reserve(input, nowMs).kind === 'granted');
+      increment(counts.granted, attemptId, isNew && table.reserve(input, nowMs).kind === 'granted');
     },
     advance: () => table.advance(attemptId, 'streaming', nowMs + 300),
     export: () => table.advance(attemptId, 'exported', nowMs + 300),
     release: () => table.startRelease(attemptId),
-    end: () => tally(ledger.ended, attemptId, table.end(attemptId)),
+    end: () => increment(counts.ended, attemptId, table.end(attemptId)),
     renew: () => table.renew(owner, nowMs),
     lapse: () => table.lapsed(nowMs).forEach((lease) => table.startRelease(lease.attemptId)),
     settle: () => table.settle(),
@@ -223,14 +223,14 @@
   actions[step.kind]();
 }
 
-test('never holds more than the capacity, and ends each lease once, whatever happens', (t) => {
+test('never holds more than the capacity and ends each lease once, in any sequence of steps', (t) => {
   const property = fc.property(fc.array(stepArbitrary, { maxLength: 120 }), (steps) => {
     const table = tableOf(100, 6);
-    const ledger: Ledger = { granted: new Map(), ended: new Map() };
+    const counts: LeaseCounts = { granted: new Map(), ended: new Map() };
     let nowMs = 0;
     steps.forEach((step) => {
       nowMs += step.kind === 'wait' ? step.durationMs : 0;
-      applyStep(table, step, nowMs, ledger);
+      applyStep(table, step, nowMs, counts);
       const { heldKvBytes, heldSlots } = table.totals();
       const live = table.leases();
       t.true(heldKvBytes <= 100 && heldSlots <= 6);
@@ -239,15 +239,15 @@
         heldKvBytes,
       );
       const liveIds = new Set(live.map(({ attemptId }) => attemptId));
-      ledger.granted.forEach((count, attemptId) => {
-        t.is((ledger.ended.get(attemptId) ?? 0) + (liveIds.has(attemptId) ? 1 : 0), count);
+      counts.granted.forEach((count, attemptId) => {
+        t.is((counts.ended.get(attemptId) ?? 0) + (liveIds.has(attemptId) ? 1 : 0), count);
       });
     });
   });
   t.notThrows(() => fc.assert(property, fixedSeed));
 });
 
-test('all promises are kept once the work that they wait for has ended', (t) => {
+test('all promised leases get their memory once the work that they wait for has ended', (t) => {
   const property = fc.property(
     fc.array(fc.integer({ min: 1, max: 50 }), { minLength: 1, maxLength: 12 }),
     (sizes) => {
--- a/packages/decisions/__tests__/orderGuard.test.ts
+++ b/packages/decisions/__tests__/orderGuard.test.ts
@@ -5,9 +5,9 @@
   return { fencingNumber, validUntilMs };
 }
 
-// The agent restarts while an old holder still sends orders. Before it knows the current number it
-// cannot tell old from new, so it obeys nobody.
-test('obeys nobody before the current number is known', (t) => {
+// The agent restarts while a former holder still sends orders. Until it knows the current number it cannot
+// tell which orders are stale, so it admits none.
+test('admits no order before the current number is known', (t) => {
   const guard = createOrderGuard();
   t.is(guard.admit(order(5), 0).kind, 'not-ready');
   guard.learn(7);
@@ -15,9 +15,9 @@
   t.is(guard.admit(order(7), 0).kind, 'admitted');
 });
 
-// A holder is paused past its lease and resumes. Another holder has given an order meanwhile; the old
-// one's order must not take effect, whether or not the engine checks the number.
-test('refuses a lower number than it has seen', (t) => {
+// A holder is paused, its lease ends, and another holder sends an order. When the first one resumes, its order
+// must not take effect, whether or not the engine checks the number.
+test('refuses a lower number than the highest seen', (t) => {
   const guard = createOrderGuard();
   guard.learn(0);
   t.is(guard.admit(order(2), 0).kind, 'admitted');
@@ -26,8 +26,8 @@
   t.is(guard.highestFencingNumber(), 2);
 });
 
-// An order waits behind a slow one. A newer holder's order comes in meanwhile, or the sender's lease
-// runs out: the check at its arrival is worth nothing by then.
+// While an order waits behind a slow one, an order of a newer holder may arrive, or the sender's lease may
+// end: the check on arrival is no longer valid then.
 test('checks again right before sending', (t) => {
   const guard = createOrderGuard();
   guard.learn(1);
@@ -38,6 +38,6 @@
   t.is(guard.recheck(order(1), 999).kind, 'stale');
 });
 
-test('the deadline leaves a margin for the way of the order', (t) => {
+test('the deadline leaves a margin for the transit of the order', (t) => {
   t.is(orderDeadline(50, 1000, 100), 950);
 });
--- a/packages/decisions/__tests__/outlierDetection.test.ts
+++ b/packages/decisions/__tests__/outlierDetection.test.ts
@@ -12,7 +12,7 @@
   Array.from({ length: times }, () => detector.record(id, 'failure', nowMs));
 }
 
-test('a failing server is ejected, probed once at a time, and taken back', (t) => {
+test('a failing server is ejected, probed by one request at a time, and restored', (t) => {
   const detector = createOutlierDetector({ ejectionMs: 1_000 });
   detector.setPoolSize(6);
   failTimes(detector, 'a', 4);
@@ -35,10 +35,9 @@
   t.deepEqual(detector.state('a', 8_100), { kind: 'half-open', probing: false });
 });
 
-// Every request is refused although all servers are well.
-// The entry's own network fails for some seconds, so that each call to each server fails, and each
-// server looks like an outlier. At most the bounded share of the pool may be ejected.
-test('a fault of the network never empties the pool', (t) => {
+// Guards against refusing all requests while all servers are healthy: if the entry's own network fails for
+// some seconds, each server looks like an outlier. At most the configured share of the pool is ejected.
+test('a network failure never empties the pool', (t) => {
   const outcomes = fc.array(
     fc.record({
       server: fc.integer({ min: 0, max: 11 }),
@@ -70,7 +69,7 @@
   );
 });
 
-test('the bound follows a pool that shrinks', (t) => {
+test('the limit on ejections follows a pool that shrinks', (t) => {
   const detector = createOutlierDetector();
   detector.setPoolSize(12);
   ['a', 'b', 'c', 'd'].forEach((id) => failTimes(detector, id, 4));
--- a/packages/decisions/__tests__/overload.test.ts
+++ b/packages/decisions/__tests__/overload.test.ts
@@ -33,10 +33,9 @@
   t.is(controllerAt(2).decide(only, 0).kind, 'admit');
 });
 
-// Callers of the lowest class are refused and admitted by turns, several times a second.
-// Shedding lowers the pressure, the level falls, the load returns, and the pressure rises again.
-// The level falls only after a calm period below a lower bound, and one step at a time.
-test('pressure that swings around a bound does not make the level swing', (t) => {
+// Guards against oscillation, in which the lowest class is refused and admitted several times a second:
+// shedding lowers the pressure, the level falls, the load returns, and the pressure rises again.
+test('pressure that oscillates around a bound does not make the level oscillate', (t) => {
   const controller = createOverloadController();
   const levels = Array.from({ length: 400 }, (_, index) => {
     controller.observe(Math.floor(index / 40) % 2 === 0 ? 1.3 : 0.8, index * 10);
@@ -47,7 +46,7 @@
   t.true(changes <= 2, `${changes}`);
 });
 
-test('recovers step by step once calm, and a value from before the silence does not raise it', (t) => {
+test('recovers step by step once calm, unaffected by samples from before a long gap', (t) => {
   const controller = controllerAt(2);
   t.is(controller.level(900), 3);
   t.is(controller.level(1_000), 2);
--- a/packages/decisions/__tests__/quarantine.test.ts
+++ b/packages/decisions/__tests__/quarantine.test.ts
@@ -18,7 +18,7 @@
 
 function recordOf(quarantine: Quarantine): QuarantineRecord {
   const known = quarantine.record('s', 'f');
-  invariant(known !== undefined, 'the fingerprint was struck');
+  invariant(known !== undefined, 'the fingerprint has no strikes');
   return known;
 }
 
@@ -26,10 +26,9 @@
   return { service: 's', fingerprint: 'f', policy: { ...policy, ...overrides }, nowEpochMs };
 }
 
-// One caller's request crashes server after server, and everybody else's answers end in the middle.
-// It is in flight on a server that dies, is sent again, and takes the next server down.
-// After two crashes the fingerprint is refused for a time, which ends by itself.
-test('two strikes put a fingerprint into quarantine for the time of the document', (t) => {
+// Guards against a request that crashes one server after another: it is in flight when a server dies, is
+// retried, and crashes the next one, which cuts off the responses of all other callers.
+test('two strikes put a fingerprint into quarantine for the duration in the document', (t) => {
   const quarantine = createQuarantine();
   quarantine.strike(strikeOf('1'), 1_000);
   t.deepEqual(quarantine.verdict(query(1_000)), { kind: 'struck', strikeCount: 1 });
@@ -38,9 +37,8 @@
   t.deepEqual(quarantine.verdict(query(605_000)), { kind: 'clear' });
 });
 
-// A request is quarantined that crashed one server once.
-// The entry, its agent's late answer and a peer each report the same crash of the same attempt.
-// A strike is counted once for each attempt id.
+// Guards against quarantining a request after a single crash: the entry, its agent's late response and a
+// peer may each report the same crash of the same attempt.
 test('a strike is counted once for each attempt', (t) => {
   const quarantine = createQuarantine();
   t.true(quarantine.strike(strikeOf('1'), 0));
@@ -49,16 +47,16 @@
   t.is(quarantine.verdict(query(20)).kind, 'struck');
 });
 
-test('the document releases and blocks', (t) => {
+test('the document can release and block fingerprints', (t) => {
   const quarantine = createQuarantine();
   ['1', '2'].forEach((attemptId) => quarantine.strike(strikeOf(attemptId), 0));
   t.is(quarantine.verdict(query(1, { release: ['f'] })).kind, 'struck');
   t.is(quarantine.verdict(query(1, { release: ['f'], block: ['f'] })).kind, 'blocked');
 });
 
-// An innocent request is quarantined because it twice shared a server with one that crashes them.
-// It ran to its end in between, which proves that the first crash was another's fault.
-// Completing clears its strikes, here and, by merging, at the peers.
+// Guards against quarantining a harmless request that twice shared a server with one that crashes servers.
+// It completed in between, so it did not cause the first crash: completing clears its strikes here and,
+// after a merge, at the peers.
 test('a request that completes is cleared, and stays cleared when a peer repeats the strike', (t) => {
   const quarantine = createQuarantine();
   quarantine.strike(strikeOf('1'), 0);
@@ -70,7 +68,7 @@
   t.deepEqual(quarantine.verdict(query(20)), { kind: 'struck', strikeCount: 1 });
 });
 
-test('struck requests are kept apart', (t) => {
+test('requests with strikes are kept on separate servers', (t) => {
   const quarantine = createQuarantine();
   quarantine.place('s', 'attempt-1', 'server-1');
   t.deepEqual([...quarantine.avoidInstances('s')], ['server-1']);
@@ -111,7 +109,7 @@
   );
 });
 
-test('holds a bounded number of fingerprints and drops what has expired', (t) => {
+test('holds a bounded number of fingerprints and removes expired records', (t) => {
   const quarantine = createQuarantine({ maxFingerprints: 10, lifetimeMs: 1_000 });
   Array.from({ length: 50 }, (_, index) => quarantine.strike(strikeOf('1', `f-${index}`), index));
   t.is(quarantine.size(), 10);
--- a/packages/decisions/__tests__/rateLimit.test.ts
+++ b/packages/decisions/__tests__/rateLimit.test.ts
@@ -23,12 +23,12 @@
   t.is(admittedIn(createRateLimiter(), 5, 10), 50);
 });
 
-test('entries that know only their number take the even share', (t) => {
+test('entries that know only the entry count take an even share', (t) => {
   const admitted = admittedIn(createRateLimiter({ entryCount: 5 }), 100, 100);
   t.true(admitted >= 200 && admitted <= 202, `${admitted}`);
 });
 
-test('a refusal says when the next request is admitted', (t) => {
+test('a refusal names the time until the next request is admitted', (t) => {
   const limiter = createRateLimiter();
   Array.from({ length: 10 }, () => limiter.take({ key: 'k', limit, nowMs: 0 }));
   const refused = limiter.take({ key: 'k', limit, nowMs: 0 });
@@ -36,7 +36,7 @@
   t.is(limiter.take({ key: 'k', limit, nowMs: 101 }).kind, 'admitted');
 });
 
-test('what an idle entry leaves goes to the busy one, within one report', (t) => {
+test('a busy entry gets the unused share of an idle one, within one report', (t) => {
   const limiter = createRateLimiter({ entryCount: 2 });
   const times = Array.from({ length: 2_000 }, (_, index) => index * 10);
   const admitted = times.filter((nowMs) => {
--- a/packages/decisions/__tests__/followerChoice.test.ts
+++ b/packages/decisions/__tests__/relayChoice.test.ts
@@ -1,25 +1,25 @@
 import test from 'ava';
 import { chooseFollowers } from '@bluebellhitch/decisions';
 
-const routers = Array.from({ length: 17 }, (_none, n) => `10.0.0.${n + 1}:7000`);
-const choiceOf = (own: string, heard: readonly string[] = routers) =>
-  chooseFollowers({ ownAddress: own, liveAddresses: heard.filter((address) => address !== own) });
+const routers = Array.from({ length: 17 }, (_, index) => `10.0.0.${index + 1}:7000`);
+const choiceOf = (own: string, known: readonly string[] = routers) =>
+  chooseFollowers({ ownAddress: own, liveAddresses: known.filter((address) => address !== own) });
 
-test('routers that hear the same ones choose the same few', (t) => {
+test('routers that know the same addresses choose the same relays', (t) => {
   const choices = routers.map((own) => [...choiceOf(own)].join(' '));
   t.is(new Set(choices).size, 1);
   t.is(choiceOf(routers[0] ?? '').length, 3);
 });
 
-test('each follows for itself where few are heard', (t) => {
+test('each router watches for itself in a small shard', (t) => {
   t.deepEqual([...choiceOf('10.0.0.1:7000', routers.slice(0, 5))].sort(), routers.slice(0, 5));
   t.deepEqual(choiceOf('10.0.0.1:7000', []), ['10.0.0.1:7000']);
 });
 
-test('one that stops is replaced by one, and the others stay', (t) => {
+test('a relay that stops is replaced by one router, and the other relays stay', (t) => {
   const [first = '', ...rest] = choiceOf(routers[0] ?? '');
-  const left = routers.filter((address) => address !== first);
-  const next = choiceOf(left[0] ?? '', left);
+  const remaining = routers.filter((address) => address !== first);
+  const next = choiceOf(remaining[0] ?? '', remaining);
   t.is(next.length, 3);
   t.deepEqual(
     rest.filter((address) => next.includes(address)),
--- a/packages/decisions/__tests__/retryBudget.test.ts
+++ b/packages/decisions/__tests__/retryBudget.test.ts
@@ -1,15 +1,14 @@
 import test from 'ava';
 import { createRetryBudget } from '../src/retryBudget';
 
-// Every request of a failing service is sent three times, and the retries keep it down.
-// Each attempt fails, each failure asks for a retry, and the load triples when it should fall.
-// Retries are earned by successes: without successes only the small floor remains.
+// Guards against retries that keep a failing service down: each attempt fails, each failure causes a retry,
+// and the load triples when it should fall. Without successes only the small floor remains.
 test('a service that fails as a whole gets the floor, not a retry per request', (t) => {
   const budget = createRetryBudget({ ratio: 0.1, floorPerSecond: 0.5 });
   Array.from({ length: 1_000 }, () => budget.recordSuccess('s', 0));
   const granted = Array.from({ length: 60_000 }, (_, nowMs) => budget.tryTake('s', nowMs));
   const count = granted.filter(Boolean).length;
-  // 50 saved up at most, and 30 of the floor in a minute.
+  // At most 50 saved, plus 30 from the floor in a minute.
   t.true(count >= 79 && count <= 81, `${count}`);
 });
 
--- a/packages/decisions/__tests__/retryPolicy.test.ts
+++ b/packages/decisions/__tests__/retryPolicy.test.ts
@@ -20,10 +20,9 @@
   };
 }
 
-// A redemption letter goes out twice.
-// The server ran the request and died before its answer, or answered "not run" for another attempt.
-// Work that may not be repeated is never tried again after its dispatch, whatever the answer says.
-test('work that may not be repeated is never tried again after dispatch', (t) => {
+// Guards against running non-repeatable work twice: the server may have run the request and died before its
+// response, or its "not run" may belong to another attempt.
+test('non-repeatable work is never retried after dispatch', (t) => {
   const attempts = fc.record({
     notRun: fc.constantFrom(true, false, 'unknown' as const),
     dispatched: fc.boolean(),
@@ -46,14 +45,14 @@
   );
 });
 
-test('a stream that the caller saw begin is resumed rather than started again', (t) => {
+test('a stream with output already delivered is resumed rather than restarted', (t) => {
   t.like(decideRetry(failedAttempt({ notRun: false, dispatched: true, emittedTokens: 7 })), {
     kind: 'resume',
     emittedTokens: 7,
   });
 });
 
-test('the budget is asked last, so that a retry that cannot happen costs nothing', (t) => {
+test('the budget is charged last, so that a retry that cannot happen costs nothing', (t) => {
   const takeFromBudget = () => {
     t.fail('took from the budget');
     return true;
--- a/packages/decisions/__tests__/sharedPermits.test.ts
+++ b/packages/decisions/__tests__/sharedPermits.test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 import { createSharedPermits, type SharedPermits } from '@bluebellhitch/decisions';
 
-const address = (at: number) => `10.0.0.${at + 1}:7400`;
-/** Long after the routers' start, when each knows all others. */
-const oldMs = 3_000;
+const address = (index: number) => `10.0.0.${index + 1}:7400`;
+/** Long after the start of the routers, when each knows all others. */
+const warmMs = 3_000;
 
-/** Routers that all know each other, and that a server has named this limit. */
+/** Creates routers that all know each other and the limit of server `s`. */
 function createFleet(count: number, requestsPerSecond: number, random = () => 0): SharedPermits[] {
-  const addresses = Array.from({ length: count }, (_none, at) => address(at));
+  const addresses = Array.from({ length: count }, (_, index) => address(index));
   return addresses.map((own) => {
     const permits = createSharedPermits({ nowMs: 0, random });
     permits.setRouters(
@@ -15,12 +15,12 @@
       addresses.filter((other) => other !== own),
       0,
     );
-    permits.note('s', requestsPerSecond, oldMs);
+    permits.note('s', requestsPerSecond, warmMs);
     return permits;
   });
 }
 
-/** Permits that a fleet takes in a time in which each router wants as many as it can have. */
+/** Number of permits taken by a fleet in which each router takes as many as it can. */
 function takenBetween(routers: readonly SharedPermits[], fromMs: number, toMs: number): number {
   let taken = 0;
   for (let nowMs = fromMs; nowMs < toMs; nowMs += 10) {
@@ -37,7 +37,7 @@
   return taken;
 }
 
-const mostIn4Seconds = (requestsPerSecond: number) => 1.5 * 4 * requestsPerSecond + 5;
+const maxIn4Seconds = (requestsPerSecond: number) => 1.5 * 4 * requestsPerSecond + 5;
 
 test('a server that names no limit needs no permit', (t) => {
   const permits = createSharedPermits({ nowMs: 0 });
@@ -48,76 +48,76 @@
   t.is(permits.limitedCount(), 0);
 });
 
-test('a fleet of any size takes the rate, and no more than is tolerated in four seconds', (t) => {
-  // A server in need would get as many times its rate as there are routers.
+test('a fleet of any size uses the rate, and no more than is tolerated in four seconds', (t) => {
+  // Guards against an overloaded server getting its rate from each router instead of from all together.
   [1, 4, 24, 359].forEach((count) => {
     [0, 0.3, 2, 20, 300].forEach((rate) => {
       const routers = createFleet(count, rate, () => 0.999);
-      const first = takenBetween(routers, oldMs, oldMs + 4_000);
-      t.true(first <= mostIn4Seconds(rate), `${count} routers, ${rate} a second: ${first}`);
-      const later = takenBetween(routers, oldMs + 4_000, oldMs + 8_000);
-      t.true(later <= mostIn4Seconds(rate) && later >= Math.floor(3.5 * rate), `later ${later}`);
+      const first = takenBetween(routers, warmMs, warmMs + 4_000);
+      t.true(first <= maxIn4Seconds(rate), `${count} routers, ${rate} a second: ${first}`);
+      const later = takenBetween(routers, warmMs + 4_000, warmMs + 8_000);
+      t.true(later <= maxIn4Seconds(rate) && later >= Math.floor(3.5 * rate), `later ${later}`);
     });
   });
 });
 
-test('what was saved up in a quiet time is no more than is tolerated', (t) => {
+test('permits accumulated in a quiet period stay within what is tolerated', (t) => {
   const routers = createFleet(24, 2);
-  const keepers = routers.filter((router) => router.waitMs('s', oldMs) !== undefined);
-  t.true(keepers.length < 5);
-  keepers.forEach((router) => router.mayTake('s', oldMs + 9_000));
-  t.true(takenBetween(routers, oldMs + 9_000, oldMs + 13_000) <= mostIn4Seconds(2));
+  const issuers = routers.filter((router) => router.waitMs('s', warmMs) !== undefined);
+  t.true(issuers.length < 5);
+  issuers.forEach((router) => router.mayTake('s', warmMs + 9_000));
+  t.true(takenBetween(routers, warmMs + 9_000, warmMs + 13_000) <= maxIn4Seconds(2));
 });
 
-test('routers that issue none name those that do, and use what they are granted once', (t) => {
+test('a router that issues no permits names the issuers, and uses each granted permit once', (t) => {
   const routers = createFleet(24, 2);
-  const nowMs = oldMs + 2_000;
+  const nowMs = warmMs + 2_000;
   const other = routers.find((router) => router.waitMs('s', nowMs) === undefined) as SharedPermits;
   const issuers = other.issuers('s', nowMs);
   t.true(issuers.length > 0);
   t.false(other.take('s', nowMs));
   const issuer = routers[Number(issuers[0]?.slice(7, -5)) - 1] as SharedPermits;
-  issuer.mayTake('s', oldMs);
+  issuer.mayTake('s', warmMs);
   t.true(issuer.grant('s', nowMs));
   other.noteGranted('s', nowMs);
   t.true(other.take('s', nowMs + 100));
   t.false(other.take('s', nowMs + 100));
   other.noteGranted('s', nowMs);
-  t.false(other.take('s', nowMs + 400), 'a permit that is not used soon is void');
+  t.false(other.take('s', nowMs + 400), 'a granted permit that is not used soon expires');
 });
 
-test('a router that has just started takes next to nothing', (t) => {
-  // It knows no other router yet: each of those that start together would take itself for the only one.
-  const routers = Array.from({ length: 359 }, (_none, at) => {
+test('a router that has just started takes hardly any permits', (t) => {
+  // It knows no other router yet: of routers that start together, each would assume that it is the only one.
+  const routers = Array.from({ length: 359 }, (_, index) => {
     const permits = createSharedPermits({ nowMs: 0, random: () => 0.999 });
-    permits.setRouters(address(at), [], 0);
+    permits.setRouters(address(index), [], 0);
     permits.note('s', 10, 0);
     return permits;
   });
-  t.true(takenBetween(routers, 0, 2_400) <= mostIn4Seconds(10));
+  t.true(takenBetween(routers, 0, 2_400) <= maxIn4Seconds(10));
 });
 
-test('a router that still hears of others takes next to nothing, and later newcomers change nothing', (t) => {
-  // In a large fleet news of all take many seconds: who knows a third of the routers would issue for three.
+test('a router that is still discovering others takes hardly any permits, one that is warm ignores newcomers', (t) => {
+  // Discovery takes many seconds in a large fleet: a router that knows a third of it would issue three times its share.
   const permits = createSharedPermits({ nowMs: 0, random: () => 0.999 });
   const others: string[] = [];
-  const hearOfOne = (nowMs: number) => {
+  const discoverOne = (nowMs: number) => {
     others.push(address(others.length + 1));
     permits.setRouters(address(0), others, nowMs);
   };
   permits.note('s', 2, 0);
   for (let nowMs = 0; nowMs < 9_000; nowMs += 1_000) {
-    hearOfOne(nowMs);
+    discoverOne(nowMs);
     t.false(permits.take('s', nowMs), `${nowMs}`);
   }
   const isIssuer = (nowMs: number) => (permits.waitMs('s', nowMs) ?? Infinity) < 1_000;
   permits.note('s', 400, 11_000);
   t.true(isIssuer(11_000));
-  hearOfOne(11_100);
+  discoverOne(11_100);
   t.true(isIssuer(11_200));
 });
 
-test('the newest word counts, wherever it was read', (t) => {
+test('the newest observation counts, whichever router made it', (t) => {
   const permits = createSharedPermits({ nowMs: 0 });
   permits.setRouters(address(0), [address(1)], 0);
   permits.note('s', 5, 1_000);
@@ -126,11 +126,11 @@
   permits.hear({ serverId: 's', ageMs: 100 }, 1_500);
   t.is(permits.limitOf('s'), undefined);
   permits.hear({ serverId: 's', requestsPerSecond: 5, ageMs: 600 }, 1_600);
-  t.is(permits.limitOf('s'), undefined, 'older than its end');
+  t.is(permits.limitOf('s'), undefined, 'older than the end of the limit');
 });
 
-test('only what was read here is told on', (t) => {
-  // News of news would go round for ever, younger with each router that it passes.
+test('only own observations are passed on', (t) => {
+  // Observations passed on from other routers would circulate for ever, with a smaller age at each router.
   const permits = createSharedPermits({ nowMs: 0 });
   permits.setRouters(address(0), [address(1)], 0);
   permits.hear({ serverId: 'far', requestsPerSecond: 9, ageMs: 0 }, 100);
@@ -140,7 +140,7 @@
   ]);
 });
 
-test('others learn at once of a limit that comes, ends or changes much', (t) => {
+test('other routers learn at once of a limit that starts, ends or changes significantly', (t) => {
   const permits = createSharedPermits({ nowMs: 0 });
   permits.setRouters(address(0), [], 0);
   t.false(permits.note('s', undefined, 0));
@@ -151,28 +151,28 @@
   t.false(permits.note('s', undefined, 5));
 });
 
-test('where nobody hears of a server any more, other routers take their turn', (t) => {
-  // Its issuers are gone or have no callers. Without a turn for others the server would stay limited for ever, since
-  // only an answer ends a limit.
+test('issuers rotate when no router observes the server any more', (t) => {
+  // Its issuers are gone or have no callers. Without rotation the server would stay limited for ever, since only a
+  // response ends a limit.
   const routers = createFleet(24, 2);
   const issuersAt = (nowMs: number) =>
-    routers.flatMap((router, at) => (router.waitMs('s', nowMs) === undefined ? [] : [at]));
-  const first = issuersAt(oldMs);
-  const second = issuersAt(oldMs + 11_000);
-  t.deepEqual(issuersAt(oldMs + 9_000), first);
+    routers.flatMap((router, index) => (router.waitMs('s', nowMs) === undefined ? [] : [index]));
+  const first = issuersAt(warmMs);
+  const second = issuersAt(warmMs + 11_000);
+  t.deepEqual(issuersAt(warmMs + 9_000), first);
   t.is(second.length, first.length);
-  t.false(second.some((at) => first.includes(at)));
+  t.false(second.some((index) => first.includes(index)));
 });
 
-test('a limit that falls takes what was saved up for the higher one', (t) => {
+test('a lower limit discards permits accumulated under the higher one', (t) => {
   const routers = createFleet(4, 100);
-  takenBetween(routers, oldMs, oldMs + 1_000);
-  routers.forEach((router) => router.note('s', 1, oldMs + 2_000));
-  const taken = takenBetween(routers, oldMs + 2_000, oldMs + 6_000);
-  t.true(taken <= mostIn4Seconds(1), `${taken}`);
+  takenBetween(routers, warmMs, warmMs + 1_000);
+  routers.forEach((router) => router.note('s', 1, warmMs + 2_000));
+  const taken = takenBetween(routers, warmMs + 2_000, warmMs + 6_000);
+  t.true(taken <= maxIn4Seconds(1), `${taken}`);
 });
 
-test('a server that is gone is forgotten with its limit', (t) => {
+test('forgetting a server removes its limit', (t) => {
   const permits = createSharedPermits({ nowMs: 0 });
   permits.setRouters(address(0), [], 0);
   permits.note('s', 0, 0);
@@ -183,11 +183,11 @@
 test('several permits are taken together or not at all', (t) => {
   const permits = createSharedPermits({ nowMs: 0, random: () => 0.5 });
   permits.setRouters(address(0), [], 0);
-  permits.note('s', 1, oldMs);
-  permits.mayTake('s', oldMs);
-  t.false(permits.take('s', oldMs + 1_000, 2));
-  t.true(permits.take('s', oldMs + 1_000));
-  permits.noteGranted('s', oldMs + 1_600);
-  t.true(permits.take('s', oldMs + 1_600, 2));
-  t.false(permits.mayTake('s', oldMs + 1_600));
+  permits.note('s', 1, warmMs);
+  permits.mayTake('s', warmMs);
+  t.false(permits.take('s', warmMs + 1_000, 2));
+  t.true(permits.take('s', warmMs + 1_000));
+  permits.noteGranted('s', warmMs + 1_600);
+  t.true(permits.take('s', warmMs + 1_600, 2));
+  t.false(permits.mayTake('s', warmMs + 1_600));
 });
--- a/packages/decisions/__tests__/stallDetector.test.ts
+++ b/packages/decisions/__tests__/stallDetector.test.ts
@@ -10,10 +10,9 @@
   t.true(verdicts.every((kind) => kind === 'moving'));
 });
 
-// A transfer or a stream hangs, and the caller waits for a total timeout of many seconds.
-// The sender is alive and keeps its connection, but no byte comes any more.
-// Progress is asked for in each interval, so that the hang shows after one of them.
-test('work that stops is found after an interval', (t) => {
+// Guards against waiting for a total timeout of many seconds when a transfer or stream hangs: the sender is
+// alive and keeps its connection open, but sends no more data.
+test('work that stops is detected after one interval', (t) => {
   const detector = createStallDetector({ startedAtMs: 0, intervalMs: 250 });
   detector.progress(1_000, 100);
   t.is(detector.check(300).kind, 'moving');
@@ -27,10 +26,9 @@
   t.is(detector.check(601).kind, 'stalled');
 });
 
-// A healthy transfer is cut and paid for again.
-// This process is paused for two seconds, and its first check afterwards sees no progress, because
-// the data still waits in its socket. After a pause of its own it grants one more interval.
-test('a pause of this process is not blamed on the sender', (t) => {
+// Guards against aborting and repeating a healthy transfer: after this process was paused for two seconds, its
+// first check sees no progress, because the data is still unread in the socket.
+test('a pause of this process does not count as a stall', (t) => {
   const detector = createStallDetector({ startedAtMs: 0, intervalMs: 250 });
   detector.progress(10, 50);
   detector.check(100);
--- a/packages/decisions/__tests__/streamGuard.test.ts
+++ b/packages/decisions/__tests__/streamGuard.test.ts
@@ -12,10 +12,9 @@
   return { kind: 'end', attemptId, offset, finishReason: 'stop' };
 }
 
-// A clerk reads another clerk's letter, or the same line twice, or an answer with a hole in it.
-// Frames of an earlier use of the engine's slot arrive late; others are repeated, reordered or lost.
-// Whatever arrives, the caller gets a prefix of the true answer, and "complete" only for all of it.
-test('the caller gets a prefix of its own answer, and is told complete only for the whole', (t) => {
+// Guards against delivering another caller's text, repeated text, or a response with a gap: frames of an
+// earlier use of the engine's slot may arrive late, others may be repeated, reordered or lost.
+test("delivers a prefix of the attempt's own response, and reports complete only for all of it", (t) => {
   const answer = 'abcdefghijklmnop';
   const frame = fc.record({
     offset: fc.nat(answer.length),
@@ -49,7 +48,7 @@
   );
 });
 
-test('drops and counts foreign frames, duplicates and what follows the end', (t) => {
+test('drops and counts foreign frames, duplicates and frames after the end', (t) => {
   const guard = createStreamGuard({ attemptId: 'mine' });
   const results = [
     tokens(0, 'ab'),
@@ -67,7 +66,7 @@
   t.deepEqual(guard.ignoredCounts(), { 'foreign-attempt': 1, duplicate: 1, 'after-end': 2 });
 });
 
-test('a gap, an overlap, a wrong total and a missing end are truncation', (t) => {
+test('a gap, an overlap, a wrong end offset and a missing end count as truncation', (t) => {
   const causeOf = (...frames: StreamFrame[]) => {
     const guard = createStreamGuard({ attemptId: 'mine' });
     const results = [...frames.map((frame) => guard.accept(frame)), guard.close()];
@@ -81,7 +80,7 @@
   t.deepEqual(causeOf(tokens(0, 'ab'), end(2)), []);
 });
 
-test('a resumed attempt continues behind what the caller has, and must not start over', (t) => {
+test('a resumed attempt continues after the delivered tokens, and must not start over', (t) => {
   const guard = createStreamGuard({ attemptId: 'mine', startOffset: 5 });
   t.like(guard.accept(tokens(5, 'f')), { kind: 'deliver', offset: 5 });
   t.like(guard.accept(end(6)), { kind: 'complete', totalTokens: 6 });
--- a/packages/decisions/__tests__/weightedFairOrder.test.ts
+++ b/packages/decisions/__tests__/weightedFairOrder.test.ts
@@ -13,10 +13,9 @@
   t.is(served.filter((flow) => flow === 'a').length, 150);
 });
 
-// An institution's class comes back after an hour, and everybody else waits behind its backlog.
-// Its flow served little in that hour, so that by plain counting it would be owed all those turns.
-// A flow that was idle starts at the current virtual time: it gets its share from now on, no more.
-test('a flow that was idle is owed nothing, and a flood does not delay it', (t) => {
+// Guards against a flow that was idle for an hour and then delays all others with its backlog: by counting
+// served items only, it would be owed the whole hour. It starts at the current virtual time instead.
+test('an idle flow earns no credit, and a flood of another flow does not delay it', (t) => {
   const order = createWeightedFairOrder<string>();
   const addAll = (flow: string) =>
     Array.from({ length: 1_000 }, (_, deadlineAtMs) =>
--- a/packages/decisions/scripts/decisionCost.ts
+++ b/packages/decisions/scripts/decisionCost.ts
@@ -1,6 +1,6 @@
 /**
- * Prints the cost of one routing decision (candidate selection and choice among bids) at several
- * sizes of the fleet: processor time (user and system), allocated bytes, and messages.
+ * Prints the cost of one routing decision (candidate selection and choice among bids) at several fleet
+ * sizes: CPU time (user and system), allocated bytes, and messages.
  *
  *     node --expose-gc --max-semi-space-size=128 --import=tsx --conditions=bluebell-source \
  *       packages/decisions/scripts/decisionCost.ts
@@ -32,7 +32,7 @@
 const warmUpDecisions = 20_000;
 const decisions = 50_000;
 const rounds = 5;
-/** Few enough that the young generation is not collected while they run. */
+/** Few enough that no minor garbage collection happens during a run. */
 const allocationDecisions = 2_000;
 const promptTokens = 4_000;
 
@@ -151,7 +151,7 @@
   };
 }
 
-/** Size of one bid request of a prompt with this many blocks, as JSON. */
+/** Size in bytes of the JSON of a bid request for a prompt with this many blocks. */
 function bidRequestBytes(blockCount: number): number {
   const request = bidRequestSchema.parse({
     service: 'draft-models',
--- a/packages/decisions/src/admissionQueue.ts
+++ b/packages/decisions/src/admissionQueue.ts
@@ -1,7 +1,7 @@
 /**
- * Requests that wait for a backend server's memory: weighted fair among flows (an institution's
- * class), earliest deadline first within a flow, bounded by each class. Times are monotonic
- * milliseconds.
+ * Queue of requests that wait for a backend server's memory: weighted fair among flows (one for each
+ * class of an institution), earliest deadline first within a flow, with a length limit for each class.
+ * Times are monotonic milliseconds.
  */
 import { invariant } from '@bluebellhitch/shared';
 import { createWeightedFairOrder } from './weightedFairOrder';
@@ -10,11 +10,11 @@
   id: string;
   institution: string;
   className: string;
-  /** Share of the resource that it asks for, in any one unit. */
+  /** Amount of the resource that it needs, in a unit common to all waiters. */
   cost: number;
-  /** Orders a flow: time of the first-token target. */
+  /** Time of the first-token target; orders a flow. */
   deadlineAtMs: number;
-  /** The request is given up then. */
+  /** The request is dropped from the queue at this time. */
   waitUntilMs: number;
 }
 
@@ -26,22 +26,22 @@
 export type OfferOutcome = { kind: 'queued' } | { kind: 'queue-full' };
 
 export interface AdmissionQueueOptions {
-  /** Classes of the accepted document; others get `defaultClass`. */
+  /** Classes of the accepted document; unknown classes get `defaultClass`. */
   classes?: ReadonlyMap<string, QueueClass>;
   defaultClass?: QueueClass;
 }
 
 export interface AdmissionQueue<Item extends Waiter> {
   offer(waiter: Item): OfferOutcome;
-  /** The one to serve next; undefined where nobody waits. */
+  /** The waiter to serve next; undefined if the queue is empty. */
   peek(): Item | undefined;
-  /** Takes the one to serve next and charges its flow. */
+  /** Removes the waiter to serve next and charges its flow. */
   take(): Item | undefined;
-  /** Takes a waiter out uncharged: cancelled or given up. */
+  /** Removes a waiter without charging its flow: cancelled or timed out. */
   remove(id: string): Item | undefined;
-  /** Removes and returns those whose waiting time is over. */
+  /** Removes and returns the waiters whose `waitUntilMs` has passed. */
   expire(nowMs: number): Item[];
-  /** Weights hold for waiters that come from now on. */
+  /** New weights apply to waiters that are offered from now on. */
   setClasses(classes: ReadonlyMap<string, QueueClass>): void;
   size(): number;
   /** Sum of the waiters' costs. */
@@ -60,14 +60,14 @@
   let classes = options.classes ?? new Map<string, QueueClass>();
   let totalCost = 0;
 
-  function waitingIn(className: string): number {
+  function countWaiting(className: string): number {
     return [...waiters.values()].filter((waiter) => waiter.className === className).length;
   }
 
   function offer(waiter: Item): OfferOutcome {
-    invariant(!waiters.has(waiter.id), `a request waits once: ${waiter.id}`);
+    invariant(!waiters.has(waiter.id), `request is already queued: ${waiter.id}`);
     const { weight, queueLimit } = classes.get(waiter.className) ?? defaultClass;
-    if (waitingIn(waiter.className) >= queueLimit) {
+    if (countWaiting(waiter.className) >= queueLimit) {
       return { kind: 'queue-full' };
     }
     const { institution, className, cost, deadlineAtMs } = waiter;
--- a/packages/decisions/src/backoff.ts
+++ b/packages/decisions/src/backoff.ts
@@ -1,20 +1,20 @@
-/** Exponential backoff with full jitter, kept inside the request's deadline. */
+/** Exponential backoff with full jitter, limited by the request's deadline. */
 import type { Random } from '@bluebellhitch/shared';
 
 export interface BackoffOptions {
-  /** 0 before the first retry. */
+  /** 0 for the first retry. */
   retryIndex: number;
   /** Upper bound of the first delay; it doubles with each retry. */
   baseMs: number;
   maxMs?: number;
-  /** Time that the request has left. */
+  /** Time until the request's deadline. */
   remainingMs: number;
-  /** Time that the retry itself needs at least. */
+  /** Minimum time that the retry itself needs. */
   reserveMs?: number;
   random: Random;
 }
 
-/** The delay before the next attempt; undefined where the deadline leaves no room for one. */
+/** Returns the delay before the next attempt; undefined if the deadline leaves no time for one. */
 export function backoffDelayMs(options: BackoffOptions): number | undefined {
   const { retryIndex, baseMs, maxMs = 2_000, remainingMs, reserveMs = 0, random } = options;
   const roomMs = remainingMs - reserveMs;
--- a/packages/decisions/src/boundedMap.ts
+++ b/packages/decisions/src/boundedMap.ts
@@ -1,18 +1,18 @@
 /**
- * A map that never holds more than `maxEntries`: the entry that was written longest ago goes first.
- * State that grows with traffic lives in these.
+ * A map that never holds more than `maxEntries`: it evicts the least recently written entry. Used for
+ * all state that grows with traffic.
  */
 
 export interface BoundedMapOptions<Key, Value> {
   maxEntries: number;
-  /** Told about an entry that had to go. */
+  /** Called with each evicted entry. */
   onEvict?: (key: Key, value: Value) => void;
 }
 
 export interface BoundedMap<Key, Value> {
   get(key: Key): Value | undefined;
   has(key: Key): boolean;
-  /** Writes the value and makes it the newest. */
+  /** Writes the value and makes it the most recent. */
   set(key: Key, value: Value): void;
   delete(key: Key): boolean;
   getOrCreate(key: Key, create: () => Value): Value;
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,5 +1,5 @@
 export { createEventSize, type EventSize, type ReportedRun } from './eventSize';
-export { chooseFollowers, type FollowerChoiceOptions } from './followerChoice';
+export { chooseFollowers, type RelayChoiceOptions } from './relayChoice';
 export {
   createMemoryForecast,
   survival,
@@ -219,4 +219,4 @@
   type SharedPermits,
   type SharedPermitsOptions,
 } from './sharedPermits';
-export { createRestPeriods, longestRestMs, type RestPeriods } from './restPeriods';
+export { createRestPeriods, maxBackoffMs, type RestPeriods } from './backoffPeriods';
--- a/packages/decisions/src/lease.ts
+++ b/packages/decisions/src/lease.ts
@@ -1,4 +1,4 @@
-/** Leases of one backend server's memory and slots, and what grants them. Times are monotonic. */
+/** Types of the leases of one backend server's memory and slots. Times are monotonic milliseconds. */
 
 export const leaseStates = {
   /** Granted against memory that is predicted to be free in time; holds nothing yet. */
@@ -6,11 +6,11 @@
   /** Holds memory; nothing runs yet. */
   reserved: 'reserved',
   prefill: 'prefill',
-  /** A finished prefill, kept until the decode worker fetched it. Uses no slot. */
+  /** A finished prefill, kept until the decode worker has fetched it. Uses no slot. */
   exported: 'exported',
   importing: 'importing',
   streaming: 'streaming',
-  /** Given up; its memory counts as held until the engine confirms that it is free. */
+  /** Being released: its memory counts as held until the engine confirms that it is free. */
   releasing: 'releasing',
 } as const;
 export type LeaseState = (typeof leaseStates)[keyof typeof leaseStates];
@@ -30,18 +30,18 @@
 
 export interface Lease {
   attemptId: string;
-  /** Absent for memory that was found in the engine and that no entry claims. */
+  /** Absent for memory found in the engine that no entry owns. */
   owner?: LeaseOwner;
   purpose: LeasePurpose;
   state: LeaseState;
-  /** Memory that the lease is for; `heldKvBytes` is 0 while it is only promised. */
+  /** Memory granted; `heldKvBytes` is 0 while it is only promised. */
   kvBytes: number;
   heldKvBytes: number;
   heldSlots: number;
   grantedAtMs: number;
   renewedAtMs: number;
   expectedReleaseAtMs: number;
-  /** Lives as long as its connection and needs no heartbeats. */
+  /** The lease lasts as long as its connection and needs no heartbeats. */
   connectionBound: boolean;
 }
 
@@ -50,15 +50,15 @@
   owner: LeaseOwner;
   purpose: LeasePurpose;
   kvBytes: number;
-  /** When the holder needs the memory at the earliest. */
+  /** Earliest time at which the owner needs the memory. */
   neededInMs: number;
-  /** How long the work is expected to hold the memory once it has started. */
+  /** Expected time for which the work holds the memory once it has started. */
   expectedHoldMs: number;
 }
 
 export type ReserveOutcome =
   | { kind: 'granted'; lease: Readonly<Lease>; usableInMs: number }
-  /** Not now; `usableInMs` is the prediction. */
+  /** Does not fit in time; `usableInMs` is the predicted wait. */
   | { kind: 'wait'; usableInMs: number }
   /** Larger than the server's whole memory. */
   | { kind: 'never' };
--- a/packages/decisions/src/leaseForecast.ts
+++ b/packages/decisions/src/leaseForecast.ts
@@ -1,10 +1,10 @@
-/** Predicts when leases will have given back enough memory and slots. */
+/** Predicts when leases will have released enough memory and slots. */
 import { leaseStates, type Lease, type LeaseCapacity } from './lease';
 
 /** Assumed remaining time of work that has outlived its prediction. */
 const overdueReleaseMs = 100;
 
-/** Adds up releases in their expected order until nothing is missing. */
+/** Adds up releases in their expected order until they cover `missing`; undefined if all together do not. */
 export function timeUntilReleased(
   leases: Lease[],
   missing: LeaseCapacity,
--- a/packages/decisions/src/leaseTable.ts
+++ b/packages/decisions/src/leaseTable.ts
@@ -1,7 +1,7 @@
 /**
- * Leases of one backend server's memory and slots. The table is the only place where that memory is
- * granted: it never grants more than the capacity, counts memory as held until its release is
- * confirmed, and ends each lease exactly once. Times are monotonic milliseconds passed by the caller.
+ * Leases of one backend server's memory and slots. Only this table grants that memory: it never grants
+ * more than the capacity, counts memory as held until its release is confirmed, and ends each lease
+ * exactly once. Times are monotonic milliseconds passed by the caller.
  */
 import { invariant } from '@bluebellhitch/shared';
 import {
@@ -18,30 +18,30 @@
 
 export interface LeaseTableOptions {
   capacity: LeaseCapacity;
-  /** A lease without a heartbeat for this long has lapsed. */
+  /** A lease lapses after this long without a heartbeat. */
   lapseAfterMs?: number;
-  /** A gap between two checks beyond this means that this process was paused itself. */
+  /** A longer gap between two checks means that this process itself was paused. */
   pauseToleranceMs?: number;
 }
 
 export interface LeaseTable {
   reserve(input: ReserveInput, nowMs: number): ReserveOutcome;
-  /** Takes over memory that the engine holds for an attempt that the table does not know. */
+  /** Adds a lease for memory that the engine holds for an attempt unknown to the table. */
   adopt(attemptId: string, heldKvBytes: number, nowMs: number): void;
-  /** When this much will be free beside all that is granted; undefined: beyond the forecast. */
+  /** Predicted time until this much is free besides all grants; undefined if the forecast does not reach so far. */
   usableInMs(demand: LeaseCapacity, nowMs: number): number | undefined;
-  /** Moves a lease that holds memory on; false where it is gone, releasing or still promised. */
+  /** Moves a lease that holds memory to the next state; false if it has ended, is releasing or is only promised. */
   advance(attemptId: string, state: RunningState, expectedReleaseAtMs: number): boolean;
   expectRelease(attemptId: string, expectedReleaseAtMs: number): void;
   bindToConnection(attemptId: string): void;
   renew(owner: LeaseOwner, nowMs: number): number;
-  /** Leases whose entry has gone: to be given up by the caller. */
+  /** Leases whose entry sends no heartbeats any more; the caller is to release them. */
   lapsed(nowMs: number): Readonly<Lease>[];
-  /** Marks a lease as given up; false where it already was. */
+  /** Marks a lease as releasing; false if it already was or has ended. */
   startRelease(attemptId: string): boolean;
-  /** Ends a lease whose memory is free; false where it has ended before. */
+  /** Ends a lease whose memory is free; false if it has already ended. */
   end(attemptId: string): boolean;
-  /** Turns promises into held memory, oldest first, and returns those turned. */
+  /** Gives promised leases their memory, oldest first, while it fits; returns these leases. */
   settle(): Readonly<Lease>[];
   setCapacity(capacity: LeaseCapacity): void;
   get(attemptId: string): Readonly<Lease> | undefined;
@@ -63,12 +63,12 @@
   let checkedAtMs: number | undefined;
 
   function add(lease: Lease): void {
-    invariant(!leases.has(lease.attemptId), `one lease an attempt: ${lease.attemptId}`);
+    invariant(!leases.has(lease.attemptId), `attempt already has a lease: ${lease.attemptId}`);
     leases.set(lease.attemptId, lease);
     grantedCount += 1;
   }
 
-  function changeHeld(lease: Lease, kvBytes: number, slots: number): void {
+  function updateHeld(lease: Lease, kvBytes: number, slots: number): void {
     held = {
       kvBytes: held.kvBytes + kvBytes - lease.heldKvBytes,
       slots: held.slots + slots - lease.heldSlots,
@@ -78,10 +78,10 @@
   }
 
   function hold(lease: Lease): void {
-    changeHeld(lease, lease.kvBytes, 1);
+    updateHeld(lease, lease.kvBytes, 1);
     lease.state = leaseStates.reserved;
-    invariant(held.kvBytes <= capacity.kvBytes, 'held memory within the capacity');
-    invariant(held.slots <= capacity.slots, 'held slots within the capacity');
+    invariant(held.kvBytes <= capacity.kvBytes, 'held memory exceeds the capacity');
+    invariant(held.slots <= capacity.slots, 'held slots exceed the capacity');
   }
 
   function promised(): Lease[] {
@@ -135,7 +135,7 @@
       connectionBound: true,
     };
     add(lease);
-    changeHeld(lease, heldKvBytes, 1);
+    updateHeld(lease, heldKvBytes, 1);
   }
 
   function advance(attemptId: string, state: RunningState, expectedReleaseAtMs: number): boolean {
@@ -146,7 +146,7 @@
     lease.state = state;
     lease.expectedReleaseAtMs = expectedReleaseAtMs;
     if (state === leaseStates.exported) {
-      changeHeld(lease, lease.heldKvBytes, 0);
+      updateHeld(lease, lease.heldKvBytes, 0);
     }
     return true;
   }
@@ -160,10 +160,10 @@
   }
 
   /**
-   * While this process was paused the heartbeats of live entries waited unread, and every lease
-   * looks lapsed at the first check after it. The pause is not held against the entries.
+   * While this process was paused, heartbeats of live entries stayed unread, so every lease would look
+   * lapsed at the first check afterwards. Extends the leases by the length of the pause.
    */
-  function forgiveOwnPause(nowMs: number): void {
+  function compensateForPause(nowMs: number): void {
     const pausedMs = nowMs - (checkedAtMs ?? nowMs);
     checkedAtMs = nowMs;
     if (pausedMs > pauseToleranceMs) {
@@ -174,7 +174,7 @@
   }
 
   function lapsed(nowMs: number): Lease[] {
-    forgiveOwnPause(nowMs);
+    compensateForPause(nowMs);
     return [...leases.values()].filter(
       (lease) =>
         lease.state !== leaseStates.releasing &&
@@ -197,18 +197,27 @@
     if (!lease) {
       return false;
     }
-    changeHeld(lease, 0, 0);
+    updateHeld(lease, 0, 0);
     leases.delete(attemptId);
     endedCount += 1;
-    checkAccounts();
+    checkInvariants();
     return true;
   }
 
-  function checkAccounts(): void {
+  function checkInvariants(): void {
     const live = [...leases.values()];
-    invariant(endedCount + live.length === grantedCount, 'each lease ends once');
-    invariant(held.kvBytes === sum(live, (lease) => lease.heldKvBytes), 'held bytes have a lease');
-    invariant(held.slots === sum(live, (lease) => lease.heldSlots), 'held slots have a lease');
+    invariant(
+      endedCount + live.length === grantedCount,
+      'granted leases must equal live plus ended leases',
+    );
+    invariant(
+      held.kvBytes === sum(live, (lease) => lease.heldKvBytes),
+      'held bytes differ from the sum over live leases',
+    );
+    invariant(
+      held.slots === sum(live, (lease) => lease.heldSlots),
+      'held slots differ from the sum over live leases',
+    );
   }
 
   function settle(): Lease[] {
--- a/packages/decisions/src/orderGuard.ts
+++ b/packages/decisions/src/orderGuard.ts
@@ -1,6 +1,6 @@
 /**
- * Guards an engine against orders of a duty holder whose lease has passed to another. The agent is
- * the one path to its engine, so an engine that ignores fencing numbers is guarded as well.
+ * Protects an engine from orders of a duty holder whose lease has passed to another. All orders pass
+ * through the engine's agent, so an engine that ignores fencing numbers is protected as well.
  */
 
 export interface GuardedOrder {
@@ -11,17 +11,17 @@
 
 export type OrderVerdict =
   | { kind: 'admitted' }
-  /** The current number is not known yet: nobody is obeyed. */
+  /** The current number is not known yet, so no order is executed. */
   | { kind: 'not-ready' }
   | { kind: 'stale'; highestFencingNumber: number }
   | { kind: 'expired' };
 
 export interface OrderGuard {
-  /** Takes a number that the platform reported. It never goes down. */
+  /** Raises the highest number to one reported by the platform; it is never lowered. */
   learn(fencingNumber: number): void;
-  /** Checks an order as it arrives; admitting it raises the number. */
+  /** Checks an order on arrival; admitting it raises the highest number. */
   admit(order: GuardedOrder, nowMs: number): OrderVerdict;
-  /** The same check right before sending: while the order waited, a higher one may have come. */
+  /** The same check right before sending: a higher number may have arrived while the order waited. */
   recheck(order: GuardedOrder, nowMs: number): OrderVerdict;
   highestFencingNumber(): number;
   isReady(): boolean;
@@ -29,7 +29,7 @@
 
 const defaultMarginMs = 100;
 
-/** When an order stops being valid: its remaining validity less a margin for its way here. */
+/** Time at which an order stops being valid: its remaining validity less a margin for its transit. */
 export function orderDeadline(
   receivedAtMs: number,
   validForMs: number,
@@ -39,14 +39,14 @@
 }
 
 export function createOrderGuard(): OrderGuard {
-  let highest: number | undefined;
+  let highestNumber: number | undefined;
 
   function recheck(order: GuardedOrder, nowMs: number): OrderVerdict {
-    if (highest === undefined) {
+    if (highestNumber === undefined) {
       return { kind: 'not-ready' };
     }
-    if (order.fencingNumber < highest) {
-      return { kind: 'stale', highestFencingNumber: highest };
+    if (order.fencingNumber < highestNumber) {
+      return { kind: 'stale', highestFencingNumber: highestNumber };
     }
     return nowMs >= order.validUntilMs ? { kind: 'expired' } : { kind: 'admitted' };
   }
@@ -54,16 +54,16 @@
   return {
     recheck,
     learn: (fencingNumber) => {
-      highest = Math.max(highest ?? 0, fencingNumber);
+      highestNumber = Math.max(highestNumber ?? 0, fencingNumber);
     },
     admit: (order, nowMs) => {
       const verdict = recheck(order, nowMs);
       if (verdict.kind === 'admitted') {
-        highest = order.fencingNumber;
+        highestNumber = order.fencingNumber;
       }
       return verdict;
     },
-    highestFencingNumber: () => highest ?? 0,
-    isReady: () => highest !== undefined,
+    highestFencingNumber: () => highestNumber ?? 0,
+    isReady: () => highestNumber !== undefined,
   };
 }
--- a/packages/decisions/src/outlierDetection.ts
+++ b/packages/decisions/src/outlierDetection.ts
@@ -1,22 +1,22 @@
 /**
- * Circuit breaking per server of one service: a server that keeps failing is ejected (open), then
- * tried with a single request (half-open), and taken back when that succeeds (closed). Ejection is
- * bounded to a share of the pool: when the network fails, every server looks broken, and an emptied
- * pool would turn a slow service into none.
+ * Circuit breakers for the servers of one service: a server that keeps failing is ejected (open), then
+ * probed with a single request (half-open), and restored when that succeeds (closed). At most a share of
+ * the pool is ejected: when the network fails, every server looks broken, and an empty pool would make a
+ * slow service unavailable.
  */
 import { createBoundedMap } from './boundedMap';
 
 export interface OutlierDetectorOptions {
-  /** Failures in a row that open a breaker. */
+  /** Consecutive failures that open a breaker. */
   consecutiveFailures?: number;
   /** Share of recent outcomes that opens a breaker, once there are `minimumOutcomes`. */
   failureShare?: number;
   minimumOutcomes?: number;
-  /** First ejection; it doubles with each one in a row. */
+  /** Duration of the first ejection; it doubles with each consecutive one. */
   ejectionMs?: number;
   maxEjectionMs?: number;
   maxEjectedShare?: number;
-  /** A probe whose outcome never came counts as lost after this long. */
+  /** A probe without an outcome counts as lost after this long. */
   probeTimeoutMs?: number;
   maxServers?: number;
 }
@@ -26,14 +26,14 @@
 
 export interface OutlierDetector {
   record(instanceId: string, outcome: 'success' | 'failure', nowMs: number): void;
-  /** Tell when an attempt is sent: a half-open server gets one at a time. */
+  /** To be called when an attempt is sent: a half-open server gets one at a time. */
   beginAttempt(instanceId: string, nowMs: number): void;
   state(instanceId: string, nowMs: number): BreakerState;
-  /** Servers that get no attempt now: for `excluded` of candidate selection. */
+  /** Servers that get no attempt now; passed to candidate selection as `excluded`. */
   ejected(nowMs: number): ReadonlySet<string>;
-  /** Servers of the pool by the current membership. */
+  /** Sets the number of servers in the pool. */
   setPoolSize(poolSize: number): void;
-  /** For an instance that restarted or is gone. */
+  /** Drops the state of an instance that restarted or was removed. */
   forget(instanceId: string): void;
 }
 
@@ -47,7 +47,7 @@
   probeStartedAtMs?: number;
 }
 
-/** Each outcome makes earlier ones count this much. */
+/** Weight of earlier outcomes is multiplied by this with each new one. */
 const outcomeDecay = 0.95;
 
 export function createOutlierDetector(options: OutlierDetectorOptions = {}): OutlierDetector {
--- a/packages/decisions/src/overload.ts
+++ b/packages/decisions/src/overload.ts
@@ -1,7 +1,7 @@
 /**
- * Brown-out order under overload: speculative work goes first, then the lowest class, then the newest
- * requests that will hardly meet their deadline. The level rises at once with the pressure and falls
- * one step at a time after a calm period, so that recovery does not oscillate.
+ * Load shedding under overload: first speculative work, then the lowest class, then new requests that
+ * are unlikely to meet their deadline. The level rises at once with the pressure and falls one step at a
+ * time after a calm period, so that recovery does not oscillate.
  */
 
 export const overloadLevels = {
@@ -10,34 +10,34 @@
   noSpeculation: 1,
   /** Also sheds the lowest class. */
   noLowestClass: 2,
-  /** Also sheds new requests that will hardly meet their targets. */
-  onlyHopeful: 3,
+  /** Also sheds new requests that are unlikely to meet their targets. */
+  onlyFeasible: 3,
 } as const;
 export type OverloadLevel = (typeof overloadLevels)[keyof typeof overloadLevels];
 
 export interface OverloadOptions {
-  /** Pressure from which levels 1, 2 and 3 hold. 1 means: waits use up the latency target. */
+  /** Pressure at which levels 1, 2 and 3 are entered. At 1, waits use up the whole latency target. */
   enterAt?: readonly [number, number, number];
-  /** A level is left below this part of the pressure at which it was entered. */
+  /** A level is left when the pressure is below this part of its entry bound. */
   leaveShare?: number;
-  /** Time below it before the level falls by one. */
+  /** Time below that bound before the level falls by one. */
   calmMs?: number;
-  /** The pressure is the mean of samples of about this long. */
+  /** Time constant of the moving average of the pressure. */
   windowMs?: number;
-  /** Probability of meeting both targets that level 3 asks for. */
-  hopefulProbability?: number;
+  /** Level 3 sheds requests with a lower probability of meeting both targets. */
+  minProbability?: number;
 }
 
 export interface SheddableRequest {
-  /** Work that nobody waits for yet. */
+  /** Work that no caller waits for yet. */
   speculative: boolean;
   /** Priority of its class, 0 the most urgent. */
   priority: number;
   /** Largest (least urgent) priority among the service's classes. */
   lowestPriority: number;
-  /** Smallest priority; a service with one class has no lowest one to shed. */
+  /** Smallest priority. A service with a single class has no lowest one to shed. */
   highestPriority: number;
-  /** Of meeting both targets, where it is known already. */
+  /** Probability of meeting both targets, if already known. */
   probability?: number;
 }
 
@@ -51,7 +51,7 @@
     };
 
 export interface OverloadController {
-  /** Predicted wait over the latency target, of each request or bid. */
+  /** Adds a sample: predicted wait divided by the latency target, of a request or bid. */
   observe(pressure: number, nowMs: number): void;
   level(nowMs: number): OverloadLevel;
   decide(request: SheddableRequest, nowMs: number): ShedDecision;
@@ -63,12 +63,12 @@
     leaveShare = 0.7,
     calmMs = 1_000,
     windowMs = 500,
-    hopefulProbability = 0.5,
+    minProbability = 0.5,
   } = options;
   let level: OverloadLevel = overloadLevels.normal;
-  let restlessAtMs = -Infinity;
+  let lastHighAtMs = -Infinity;
   let observedAtMs = -Infinity;
-  /** Sum and count of samples, both fading with time: after a silence the next sample decides. */
+  /** Sum and count of samples, both decaying with time: after a long gap the next sample dominates. */
   let sampleSum = 0;
   let sampleCount = 0;
 
@@ -77,9 +77,9 @@
   }
 
   function observe(sample: number, nowMs: number): void {
-    const fading = Math.exp(-Math.max(0, nowMs - observedAtMs) / windowMs);
-    sampleSum = sampleSum * fading + sample;
-    sampleCount = sampleCount * fading + 1;
+    const decay = Math.exp(-Math.max(0, nowMs - observedAtMs) / windowMs);
+    sampleSum = sampleSum * decay + sample;
+    sampleCount = sampleCount * decay + 1;
     observedAtMs = nowMs;
     const pressure = sampleSum / sampleCount;
     const target = levelFor(pressure);
@@ -87,15 +87,15 @@
       level = target;
     }
     if (pressure >= leaveShare * (enterAt[level - 1] ?? Infinity)) {
-      restlessAtMs = nowMs;
+      lastHighAtMs = nowMs;
     }
   }
 
-  /** Falls by one level per calm period, also while nothing is observed. */
+  /** The level falls by one for each calm period, also while nothing is observed. */
   function currentLevel(nowMs: number): OverloadLevel {
-    if (level > 0 && nowMs - restlessAtMs >= calmMs) {
+    if (level > 0 && nowMs - lastHighAtMs >= calmMs) {
       level = (level - 1) as OverloadLevel;
-      restlessAtMs = nowMs;
+      lastHighAtMs = nowMs;
     }
     return level;
   }
@@ -109,8 +109,8 @@
     if (current >= overloadLevels.noLowestClass && isLowest) {
       return 'lowest-class';
     }
-    const hopeless = probability !== undefined && probability < hopefulProbability;
-    return current >= overloadLevels.onlyHopeful && hopeless ? 'hopeless' : undefined;
+    const hopeless = probability !== undefined && probability < minProbability;
+    return current >= overloadLevels.onlyFeasible && hopeless ? 'hopeless' : undefined;
   }
 
   function decide(request: SheddableRequest, nowMs: number): ShedDecision {
--- a/packages/decisions/src/quarantine.ts
+++ b/packages/decisions/src/quarantine.ts
@@ -1,14 +1,14 @@
 /**
- * Requests that crash servers. Each request in flight on a server that died gets a strike on its
- * fingerprint. After one strike it runs only beside requests without any, so that the next crash
- * tells which one is to blame; after the document's number of strikes it is quarantined for a time.
- * A request that completes is cleared: it was a bystander.
+ * Quarantines requests that crash servers. Each request in flight on a server that died gets a strike
+ * on its fingerprint. After one strike it runs only beside requests without any, so that the next crash
+ * shows which one caused it; after the document's number of strikes it is quarantined for a time.
+ * A request that completes is cleared: it did not cause the crash.
  *
- * Records merge like a two-phase set: strikes and clearances are united, so that peers and the
- * platform may exchange them in any order and any number of times.
+ * Records merge like a two-phase set: a merge is the union of strikes and of clearances, so that peers
+ * and the platform may exchange them in any order and any number of times.
  *
- * Times are wall-clock milliseconds: records outlive the process and pass between machines. A clock
- * that is ahead cannot prolong a quarantine, because strikes of the future count as of now.
+ * Times are wall-clock milliseconds, since records outlive the process and move between machines. A
+ * clock that is ahead cannot prolong a quarantine, because strikes in the future count as of now.
  */
 import type { Strike } from '@bluebellhitch/protocol';
 import { createBoundedMap } from './boundedMap';
@@ -38,7 +38,7 @@
 
 export type QuarantineVerdict =
   | { kind: 'clear' }
-  /** Run it, but beside no other request that was struck; see `avoidInstances`. */
+  /** May run, but not beside another request with strikes; see `avoidInstances`. */
   | { kind: 'struck'; strikeCount: number }
   | { kind: 'quarantined'; strikeCount: number; retryAfterMs: number }
   /** Listed in the document: refused until an operator edits it. */
@@ -58,20 +58,20 @@
 }
 
 export interface Quarantine {
-  /** Counts a strike; false where this attempt's strike is known already. */
+  /** Adds a strike; false if this attempt's strike is already known. */
   strike(strike: Strike, nowEpochMs: number): boolean;
   verdict(query: QuarantineQuery): QuarantineVerdict;
-  /** The request completed: its strikes so far were another's fault. */
+  /** Clears the strikes so far after the request completed; false if there were none. */
   clear(service: string, fingerprint: string): boolean;
-  /** Takes in a record of a peer or the platform; false where it told nothing new. */
+  /** Merges a record from a peer or the platform; false if it contained nothing new. */
   merge(record: QuarantineRecord, nowEpochMs: number): boolean;
   record(service: string, fingerprint: string): QuarantineRecord | undefined;
-  /** Notes that a struck request runs on a server. */
+  /** Records that a request with strikes runs on a server. */
   place(service: string, attemptId: string, instanceId: string): void;
   unplace(attemptId: string): void;
-  /** Servers on which a struck request of the service runs now: no other one may join it. */
+  /** Servers that run a request of the service with strikes: no other such request may join it. */
   avoidInstances(service: string): ReadonlySet<string>;
-  /** Drops what has expired. */
+  /** Removes expired records. */
   sweep(nowEpochMs: number): void;
   size(): number;
 }
@@ -97,7 +97,7 @@
   function merge(record: QuarantineRecord, nowEpochMs: number): boolean {
     const { service, fingerprint } = record;
     const known = recordOf(service, fingerprint) ?? emptyRecord(service, fingerprint);
-    const merged = mergeQuarantineRecords(known, notLaterThan(record, nowEpochMs));
+    const merged = mergeQuarantineRecords(known, clampToNow(record, nowEpochMs));
     if (isSameRecord(known, merged)) {
       return false;
     }
@@ -114,7 +114,7 @@
 
   function clear(service: string, fingerprint: string): boolean {
     const record = recordOf(service, fingerprint);
-    if (record === undefined || countingStrikes(record).length === 0) {
+    if (record === undefined || activeStrikes(record).length === 0) {
       return false;
     }
     const clearedAttemptIds = record.strikes.map(({ attemptId }) => attemptId);
@@ -161,8 +161,8 @@
 }
 
 /**
- * Union of strikes by attempt, and of clearances; within the bounds it is commutative, associative
- * and idempotent.
+ * Union of strikes (one for each attempt) and of clearances. Commutative, associative and idempotent
+ * while the size limits are not exceeded.
  */
 export function mergeQuarantineRecords(
   left: QuarantineRecord,
@@ -190,7 +190,7 @@
   policy: QuarantinePolicy,
   nowEpochMs: number,
 ): QuarantineVerdict {
-  const recent = countingStrikes(record).filter(
+  const recent = activeStrikes(record).filter(
     ({ struckAtMs }) => struckAtMs + policy.durationMs > nowEpochMs,
   );
   if (record === undefined || recent.length === 0) {
@@ -204,13 +204,13 @@
   return { kind: 'quarantined', strikeCount, retryAfterMs: endsAtMs - nowEpochMs };
 }
 
-function countingStrikes(record: QuarantineRecord | undefined): CountedStrike[] {
+function activeStrikes(record: QuarantineRecord | undefined): CountedStrike[] {
   return (record?.strikes ?? []).filter(
     ({ attemptId }) => !record?.clearedAttemptIds.includes(attemptId),
   );
 }
 
-function notLaterThan(record: QuarantineRecord, nowEpochMs: number): QuarantineRecord {
+function clampToNow(record: QuarantineRecord, nowEpochMs: number): QuarantineRecord {
   const strikes = record.strikes.map((strike) => ({
     ...strike,
     struckAtMs: Math.min(strike.struckAtMs, nowEpochMs),
--- a/packages/decisions/src/quotaRouters.ts
+++ b/packages/decisions/src/quotaRouters.ts
@@ -1,97 +1,99 @@
-/** What a router knows of those that keep a quota with it: who is there, who was heard lately, and what each has told. */
+/**
+ * Tracks the other routers that enforce the same quotas: which exist, which were in contact lately, and their totals.
+ */
 import { createBoundedMap } from './boundedMap';
 
 export interface QuotaRouter {
-  life?: string;
-  heardAtMs: number;
-  /** For which its even part was set aside, since it last told what it admitted. */
-  presumedMs: number;
-  /** Told for each workspace, in its life. */
+  incarnation?: string;
+  lastContactAtMs: number;
+  /** Time for which its even share was set aside, since its last announcement. */
+  assumedSpendingMs: number;
+  /** Announced total of each workspace, in its current incarnation. */
   sums: Map<string, number>;
 }
 
 export interface QuotaRouters {
-  /** The routers of this one's part, without itself, and how many there are in all parts. */
-  set(companions: readonly string[], routerCount: number): void;
+  /** Sets the other routers of this router's shard, and the number of routers in all shards. */
+  set(shardPeers: readonly string[], routerCount: number): void;
   get(address: string): QuotaRouter | undefined;
-  /** Counts it as heard. */
-  note(address: string, nowMs: number): QuotaRouter;
+  /** Counts the router as reachable from now on. */
+  noteContact(address: string, nowMs: number): QuotaRouter;
   isSilent(address: string, nowMs: number): boolean;
-  /** It has stopped; it counts again with its next life. */
-  noteLeft(address: string): void;
-  noteNewLife(address: string, life: string): void;
-  /** Of the part, this one too; a guess while this one has just started. */
+  /** The router has stopped; it counts again with its next incarnation. */
+  noteStopped(address: string): void;
+  noteIncarnation(address: string, incarnation: string): void;
+  /** Number of routers in the shard, this one included; an estimate while this one is warming up. */
   count(nowMs: number): number;
-  /** Of rate and burst, for the routers that are heard; the silent ones are taken to spend the rest. */
-  groupShare(nowMs: number): number;
-  /** Of all routers, those of this one's part. */
-  partShare(): number;
-  /** This one started lately, and may not have heard all others. */
-  isYoung(nowMs: number): boolean;
+  /** Share of rate and burst for the reachable routers; the silent ones are assumed to spend the rest. */
+  reachableShare(nowMs: number): number;
+  /** Share of this router's shard among all routers. */
+  shardShare(): number;
+  /** This router has just started and may not have heard from all others yet. */
+  isWarmingUp(nowMs: number): boolean;
 }
 
-/** A router is heard once a second; half a second more for its way. */
-const silentMs = 1_500;
-/** Routers hear all others of their part within this time of their start. */
-const youngMs = 2_500;
-/** A router that starts does not know how many there are: as many as a part may have, about. */
-const assumedRouters = 32;
+/** Routers send a heartbeat each second; half a second is added for its transit. */
+const silenceTimeoutMs = 1_500;
+/** Routers hear from all others of their shard within this time of their start. */
+const warmUpMs = 2_500;
+/** Routers assumed while the number is still unknown: about as many as a shard may have. */
+const assumedRouterCount = 32;
 const maxRouters = 512;
 
 export function createQuotaRouters(startedAtMs: number): QuotaRouters {
   const routers = createBoundedMap<string, QuotaRouter>({ maxEntries: maxRouters });
-  const gone = new Set<string>();
-  let companions: readonly string[] = [];
-  let share = 1;
+  const stopped = new Set<string>();
+  let shardPeers: readonly string[] = [];
+  let shardShare = 1;
 
-  const isYoung = (nowMs: number) => nowMs - startedAtMs < youngMs;
+  const isWarmingUp = (nowMs: number) => nowMs - startedAtMs < warmUpMs;
 
   function isSilent(address: string, nowMs: number): boolean {
     const router = routers.get(address);
-    return router === undefined || nowMs - router.heardAtMs > silentMs;
+    return router === undefined || nowMs - router.lastContactAtMs > silenceTimeoutMs;
   }
 
   function count(nowMs: number): number {
-    return Math.max(companions.length + 1, isYoung(nowMs) ? assumedRouters : 1);
+    return Math.max(shardPeers.length + 1, isWarmingUp(nowMs) ? assumedRouterCount : 1);
   }
 
-  function note(address: string, nowMs: number): QuotaRouter {
+  function noteContact(address: string, nowMs: number): QuotaRouter {
     const router = routers.getOrCreate(address, () => ({
-      heardAtMs: nowMs,
-      presumedMs: 0,
+      lastContactAtMs: nowMs,
+      assumedSpendingMs: 0,
       sums: new Map(),
     }));
-    router.presumedMs += Math.max(0, nowMs - router.heardAtMs - silentMs);
-    router.heardAtMs = Math.max(router.heardAtMs, nowMs);
+    router.assumedSpendingMs += Math.max(0, nowMs - router.lastContactAtMs - silenceTimeoutMs);
+    router.lastContactAtMs = Math.max(router.lastContactAtMs, nowMs);
     return router;
   }
 
   return {
     set(next, routerCount) {
-      companions = next.filter((address) => !gone.has(address));
-      share = Math.min(1, (next.length + 1) / Math.max(1, routerCount));
+      shardPeers = next.filter((address) => !stopped.has(address));
+      shardShare = Math.min(1, (next.length + 1) / Math.max(1, routerCount));
     },
     get: routers.get,
-    note,
+    noteContact,
     isSilent,
-    noteLeft(address) {
-      gone.add(address);
-      companions = companions.filter((companion) => companion !== address);
+    noteStopped(address) {
+      stopped.add(address);
+      shardPeers = shardPeers.filter((peer) => peer !== address);
     },
-    noteNewLife(address, life) {
-      gone.delete(address);
+    noteIncarnation(address, incarnation) {
+      stopped.delete(address);
       const router = routers.get(address);
       if (router !== undefined) {
-        router.life = life;
+        router.incarnation = incarnation;
         router.sums.clear();
       }
     },
     count,
-    groupShare(nowMs) {
-      const heard = companions.filter((address) => !isSilent(address, nowMs)).length;
-      return Math.min(1, (heard + 1) / count(nowMs));
+    reachableShare(nowMs) {
+      const reachable = shardPeers.filter((address) => !isSilent(address, nowMs)).length;
+      return Math.min(1, (reachable + 1) / count(nowMs));
     },
-    partShare: () => share,
-    isYoung,
+    shardShare: () => shardShare,
+    isWarmingUp,
   };
 }
--- a/packages/decisions/src/rateLimit.ts
+++ b/packages/decisions/src/rateLimit.ts
@@ -1,19 +1,19 @@
 /**
- * Limits a class's request rate over all entries without a call per request. Each entry fills its own
- * token bucket at its share of the rate: the even share, unless entries' demands are known, in which
- * case an entry that asks for less leaves the rest to the others (max-min fairness).
+ * Limits a class's request rate over all entries without a call per request. Each entry refills its own
+ * token bucket at its share of the rate: an even share, or, where the demand of other entries is known,
+ * its max-min fair share, in which an entry with less demand leaves the rest to the others.
  */
 import { createBoundedMap } from './boundedMap';
 
 export interface RateLimit {
-  /** Over all entries. */
+  /** Total over all entries. */
   requestsPerSecond: number;
-  /** Requests above the rate at once, over all entries; default one second's worth. */
+  /** Bucket size over all entries; by default the requests of one second. */
   burst?: number;
 }
 
 export interface RateQuery {
-  /** Names the bucket, for example by `rateKey`. */
+  /** Identifies the bucket; see `rateKey`. */
   key: string;
   limit: RateLimit;
   nowMs: number;
@@ -22,19 +22,19 @@
 export type RateDecision = { kind: 'admitted' } | { kind: 'limited'; retryAfterMs: number };
 
 export interface RateLimiterOptions {
-  /** Entries by the instance list, this one included. */
+  /** Number of entries in the instance list, this one included. */
   entryCount?: number;
   maxBuckets?: number;
-  /** A peer's report counts for this long. */
+  /** A peer's demand report expires after this time. */
   demandLifetimeMs?: number;
 }
 
 export interface RateLimiter {
   take(query: RateQuery): RateDecision;
   setEntryCount(entryCount: number): void;
-  /** What a peer was asked for lately, where peers tell each other. */
+  /** Records the recent demand that a peer reported. */
   reportDemand(peerId: string, key: string, requestsPerSecond: number, nowMs: number): void;
-  /** What this entry was asked for lately, admitted or not: its report to peers. */
+  /** Recent demand at this entry in requests per second, admitted or not: what it reports to peers. */
   demand(key: string, nowMs: number): number;
   size(): number;
 }
@@ -42,14 +42,14 @@
 export interface DemandShareOptions {
   requestsPerSecond: number;
   ownDemand: number;
-  /** Demands of the peers that reported; the others are taken to want an even share. */
+  /** Demands of the peers that reported; the others are assumed to need an even share. */
   peerDemands: readonly number[];
   entryCount: number;
 }
 
 interface Bucket {
   tokens: number;
-  /** This entry's part of the rate, in (0, 1]. */
+  /** This entry's share of the rate, in (0, 1]. */
   share: number;
   shareUntilMs: number;
   refilledAtMs: number;
@@ -75,7 +75,7 @@
   let entryCount = Math.max(1, options.entryCount ?? 1);
   const buckets = createBoundedMap<string, Bucket>({ maxEntries: maxBuckets });
 
-  /** Computed now and then only: it looks at every peer. */
+  /** Recomputed only every `shareLifetimeMs`, since it visits every peer. */
   function updateShare(bucket: Bucket, limit: RateLimit, nowMs: number): void {
     if (nowMs < bucket.shareUntilMs) {
       return;
@@ -123,9 +123,9 @@
 }
 
 /**
- * This entry's part of the rate by max-min fairness. Entries that know the same demands take at most
- * the rate together. Everyone keeps at least half of the even share, so that new demand is not
- * refused until the next reports, and what nobody asks for is split evenly.
+ * Computes this entry's max-min fair share of the rate. Entries that know the same demands together take
+ * at most the rate. Each entry keeps at least half of its even share, so that new demand is not refused
+ * until the next reports, and capacity without demand is divided evenly.
  */
 export function shareByDemand(options: DemandShareOptions): number {
   const { requestsPerSecond, ownDemand, peerDemands, entryCount } = options;
@@ -135,19 +135,19 @@
     return evenShare;
   }
   const silentCount = entryCount - 1 - known.length;
-  const atLeastHalf = (demand: number) => Math.max(demand, evenShare / 2);
+  const withMinimum = (demand: number) => Math.max(demand, evenShare / 2);
   const demands = [
-    atLeastHalf(ownDemand),
-    ...known.map(atLeastHalf),
+    withMinimum(ownDemand),
+    ...known.map(withMinimum),
     ...Array.from({ length: silentCount }, () => evenShare),
   ];
-  const level = maxMinLevel(demands, requestsPerSecond);
-  const granted = demands.reduce((sum, demand) => sum + Math.min(demand, level), 0);
+  const fairLevel = maxMinLevel(demands, requestsPerSecond);
+  const granted = demands.reduce((sum, demand) => sum + Math.min(demand, fairLevel), 0);
   const spare = Math.max(0, requestsPerSecond - granted) / entryCount;
-  return Math.min(atLeastHalf(ownDemand), level) + spare;
+  return Math.min(withMinimum(ownDemand), fairLevel) + spare;
 }
 
-/** The level at which demands, cut off at it, add up to `capacity`; infinite where they fit. */
+/** The cap at which the capped demands add up to `capacity`; infinite if they all fit. */
 function maxMinLevel(demands: readonly number[], capacity: number): number {
   const ascending = [...demands].sort((left, right) => left - right);
   let remaining = capacity;
@@ -190,7 +190,7 @@
   bucket.refilledAtMs = nowMs;
 }
 
-/** Called before `refill`, which moves the time that the decay counts from. */
+/** Must be called before `refill`, which resets the time from which the demand decays. */
 function countDemand(bucket: Bucket, nowMs: number): void {
   bucket.demandPerSecond = decayedDemand(bucket, nowMs) + 1_000 / demandWindowMs;
 }
--- a/packages/decisions/src/retryBudget.ts
+++ b/packages/decisions/src/retryBudget.ts
@@ -1,23 +1,23 @@
 /**
- * Retry budget per service: each success earns a fraction of a retry, and a small floor is earned
- * with time, so that a service with little traffic can retry at all. When a service fails as a
- * whole there are no successes, and retries fade to the floor instead of multiplying the load.
+ * Retry budget for each service: each success earns a fraction of a retry. A small floor is earned with
+ * time, so that a service with little traffic can retry at all. When a whole service fails there are no
+ * successes, and retries drop to the floor instead of multiplying the load.
  */
 import { createBoundedMap } from './boundedMap';
 
 export interface RetryBudgetOptions {
-  /** Retries earned per success, unless the success names its document's ratio. */
+  /** Retries earned per success, unless `recordSuccess` gets the ratio of the service's document. */
   ratio?: number;
-  /** Retries earned per second without any success. */
+  /** Retries earned per second, independent of successes. */
   floorPerSecond?: number;
-  /** Retries that can be saved up. */
+  /** Maximum number of retries in the budget. */
   maxBalance?: number;
   maxServices?: number;
 }
 
 export interface RetryBudget {
   recordSuccess(service: string, nowMs: number, ratio?: number): void;
-  /** Takes one retry out of the budget; false where none is left. */
+  /** Takes one retry from the budget; false if none is left. */
   tryTake(service: string, nowMs: number): boolean;
   balance(service: string, nowMs: number): number;
 }
--- a/packages/decisions/src/retryPolicy.ts
+++ b/packages/decisions/src/retryPolicy.ts
@@ -1,28 +1,28 @@
 /**
- * Whether a failed attempt is followed by another. Only the entry retries. Work marked as not to be
- * repeated is never tried again once it was dispatched; other work is, after a proven "not run" or
- * where repeating is harmless, on another server, within the retry budget and the deadline.
+ * Decides whether a failed attempt is retried. Only the entry retries. Non-repeatable work is never
+ * retried once it was dispatched. Other work is retried on another server, after a proven "not run" or
+ * where repeating is harmless, within the retry budget and the deadline.
  */
 import type { NotRun, Random, RefusalReason } from '@bluebellhitch/shared';
 import { backoffDelayMs } from './backoff';
 
 export interface FailedAttempt {
-  /** Whether the attempt ran, as far as known. */
+  /** Whether the attempt did not run, as far as known. */
   notRun: NotRun;
   /** Whether the request was sent to a server for execution, rather than for a bid or a lease. */
   dispatched: boolean;
   repeatable: boolean;
-  /** Servers tried so far, the failed one included: never asked again. */
+  /** Servers tried so far, the failed one included: never tried again. */
   triedInstances: readonly string[];
   /** Attempts made so far. */
   attempts: number;
   maxAttempts: number;
-  /** Takes a retry out of the service's budget; called only where all else allows one. */
+  /** Takes a retry from the service's budget; called only if all other conditions allow one. */
   takeFromBudget: () => boolean;
-  /** Output tokens that the caller already has. */
+  /** Output tokens that the caller has already received. */
   emittedTokens?: number;
   remainingMs: number;
-  /** Time that another attempt needs at least. */
+  /** Minimum time that another attempt needs. */
   reserveMs?: number;
   backoffBaseMs: number;
   random: Random;
@@ -30,7 +30,7 @@
 
 export type RetryDecision =
   | { kind: 'retry'; afterMs: number; excluded: ReadonlySet<string> }
-  /** Continue behind the tokens that the caller has. */
+  /** Continues after the tokens that the caller has received. */
   | { kind: 'resume'; afterMs: number; excluded: ReadonlySet<string>; emittedTokens: number }
   | { kind: 'give-up'; reason: RefusalReason; notRun: NotRun; detail: string };
 
@@ -66,8 +66,8 @@
 
 function findObstacle(attempt: FailedAttempt): Obstacle | undefined {
   if (!attempt.repeatable && (attempt.dispatched || attempt.notRun !== true)) {
-    // A claim covers one dispatch. Even a server's own "not run" is no licence for a second one: the
-    // caller would see one key run twice if that answer were wrong or belonged to another attempt.
+    // A claim covers one dispatch. Even a server's own "not run" does not permit a second one: one key
+    // would run twice if that response were wrong or belonged to another attempt.
     return { reason: 'backend-failed', detail: 'the request may not be repeated after dispatch' };
   }
   if (attempt.attempts >= attempt.maxAttempts) {
--- a/packages/decisions/src/sharedPermits.ts
+++ b/packages/decisions/src/sharedPermits.ts
@@ -1,26 +1,27 @@
 /**
- * Keeps requests to a backend server in need below the rate that it names, over all routers together. Answers servers
- * that are overloaded by many routers at once, each of which sees only its own small part of what they get.
+ * Keeps requests to an overloaded backend server below the rate that it names, over all routers together. Guards
+ * against overload of a server by many routers at once, each of which sees only its own small part of the load.
  *
- * A request to such a server needs a permit. Few routers issue the permits of one server, chosen by rendezvous hashing;
- * the others use other servers, or ask an issuer. So what is sent hangs neither on how many routers there are, nor on how
- * fast they hear of each other.
+ * A request to such a server needs a permit. A few routers issue the permits of one server, chosen by rendezvous
+ * hashing; the others use other servers, or ask an issuer. So the load depends neither on the number of routers nor on
+ * how fast they learn of each other.
  *
  * Largest number of permits in any time T, for a server that names L a second:
  * - One set of issuers: the buckets hold 2 + L together and fill at L, so 2 + L + L x T.
- * - At a change of the set (a router comes or goes, or a turn ends) the buckets of the new one add 2 + L once, since a
+ * - At a change of the set (a router joins or leaves, or a rotation) the buckets of the new set add 2 + L once, since a
  *   bucket fills only while its router issues: 4 + 2L + L x T. In 4 s that is 6L + 4, of 6L + 5 tolerated.
- * - Cut off: a router that hears nobody still counts the others for as long as it knows them, and issues no more than
- *   before. Only where a cut outlasts that time (a minute) each side chooses issuers of its own.
- * - A router that still hears of others that it did not know takes as small a part as if there were 360 of them.
+ * - Isolated routers: a router that hears from nobody still counts the others for as long as it knows them, and issues
+ *   no more than before. Only if it stays isolated for longer than that (a minute) does each side choose its own
+ *   issuers.
+ * - A router that is still discovering others takes as small a share as if there were 360 of them.
  */
 import { rendezvousOrder } from '@bluebellhitch/shared';
 
-/** What a server's answers say; without a rate they no longer name a limit. */
+/** A limit read in a server's response; without a rate, its responses no longer name one. */
 export interface LimitSighting {
   serverId: string;
   requestsPerSecond?: number;
-  /** Since the answer was read, by the router that read it. */
+  /** Time since the router that observed it read the response. */
   ageMs: number;
 }
 
@@ -30,104 +31,105 @@
 }
 
 export interface SharedPermits {
-  /** All routers that are known, whether they are heard at this time or not. */
+  /** Sets all known routers, whether they are reachable at present or not. */
   setRouters(ownAddress: string, others: readonly string[], nowMs: number): void;
-  /** An answer read here says so; true where the other routers should learn it at once. */
+  /** Records the limit in a response read here; true if the other routers should learn of it at once. */
   note(serverId: string, requestsPerSecond: number | undefined, nowMs: number): boolean;
-  /** Another router has read it. */
-  hear(sighting: LimitSighting, nowMs: number): void;
-  /** The rate that the server names; undefined where it names none. */
+  /** Applies the observation of another router, unless a newer one is known. */
+  hear(observation: LimitSighting, nowMs: number): void;
+  /** Requests per second that the server names; undefined if it names no limit. */
   limitOf(serverId: string): number | undefined;
-  /** Whether so many permits may be had here: of a server without a limit always. */
+  /** Whether `count` permits are available here; always true for a server without a limit. */
   mayTake(serverId: string, nowMs: number, count?: number): boolean;
-  /** Takes permits that other routers have granted, and the rest out of this router's bucket; all or none. */
+  /** Takes granted permits first and the rest from this router's bucket; all `count` permits or none. */
   take(serverId: string, nowMs: number, count?: number): boolean;
-  /** Takes one for another router. */
+  /** Takes one permit for another router; false if none is available. */
   grant(serverId: string, nowMs: number): boolean;
-  /** Another router has granted one. */
+  /** Records a permit that another router has granted. */
   noteGranted(serverId: string, nowMs: number): void;
-  /** The routers that issue the server's permits at this time, without this one. */
+  /** The routers that currently issue the server's permits, without this one. */
   issuers(serverId: string, nowMs: number): readonly string[];
-  /** Until this router's bucket holds a permit; undefined where it issues none. */
+  /** Time until this router's bucket holds a permit; undefined if it issues none. */
   waitMs(serverId: string, nowMs: number): number | undefined;
-  /** What this router has read itself since a moment. */
+  /** Limits that this router itself has observed since `sinceMs`. */
   sightingsSince(sinceMs: number, nowMs: number): LimitSighting[];
   forget(serverId: string): void;
   limitedCount(): number;
 }
 
 interface LimitedServer {
-  /** Absent once its answers no longer name one. */
+  /** Absent once its responses no longer name a limit. */
   requestsPerSecond?: number;
-  /** Of the newest word, here or elsewhere. */
-  seenAtMs: number;
-  /** Of the newest word that this router has read itself. */
-  ownSeenAtMs: number;
+  /** Time of the newest observation by any router. */
+  observedAtMs: number;
+  /** Time of the newest observation by this router. */
+  ownObservedAtMs: number;
   level: number;
   filledAtMs: number;
   wasIssuer: boolean;
-  /** Granted by others, each with the time at which it is void. */
+  /** Expiry times of the permits granted by other routers. */
   grantedUntilMs: number[];
   order?: { routersVersion: number; addresses: readonly string[] };
 }
 
 const msPerSecond = 1_000;
-/** Beyond the rate, what users tolerate of all routers together in four seconds. */
+/** Requests beyond the rate that users tolerate from all routers together in four seconds. */
 const toleratedRequests = 5;
 const toleratedShare = 0.5;
 const toleratedWindowS = 4;
-/** Of that, for requests that are sent in one window and arrive in the next. */
-const onTheWay = 1;
-const leastBucket = 2;
-/** A server that asks for less still gets a request now and then: no other answer could end its limit. */
-const leastRate = 0.1;
+/** Part of that for requests that are sent in one window and arrive in the next. */
+const inFlightRequests = 1;
+const minBucketSize = 2;
+/** A server that names a lower rate still gets a request now and then: only a response can end its limit. */
+const minRatePerSecond = 0.1;
 /**
- * A router that has heard of no further one for this long knows the others; in large fleets news of all of them take many
- * seconds to come. Before that it counts with the largest fleet, or it would take itself for one of few.
+ * A router that has discovered no further router for this long is taken to know them all; in a large fleet discovery
+ * takes many seconds. Until then it assumes the largest fleet, or it would take too large a share.
  */
-const settledMs = 2_500;
-const mostYoungMs = 30_000;
-const assumedRouters = 360;
+const discoveryQuietMs = 2_500;
+const maxWarmUpMs = 30_000;
+const assumedRouterCount = 360;
 /**
- * Where nobody has had an answer of the server for so long, its issuers may all be gone, or have no callers: others take
- * their turn, or the server would stay limited for ever.
+ * If no router has had a response of the server for this long, its issuers may all be gone or have no callers: the next
+ * routers in order become issuers, or the server would stay limited for ever.
  */
-const leastTurnMs = 10_000;
-/** A turn is long against the time that issuers need to use their permits. */
-const permitsPerTurn = 2;
-/** News of an answer reach all within a second or so, in large fleets within more. */
-const turnMsPerRouter = 200;
+const minRotationMs = 10_000;
+/** A rotation lasts long enough for each issuer to use this many permits. */
+const permitsPerRotation = 2;
+/** An observation reaches all routers within about a second, in large fleets later. */
+const rotationMsPerRouter = 200;
 const grantLifetimeMs = 300;
 const maxServers = 4_096;
-/** A change of the rate by less than this part is told with the next regular news. */
-const notableChange = 0.2;
+/** A change of the rate by less than this part waits for the next regular announcement. */
+const significantChange = 0.2;
 
 export function createSharedPermits(options: SharedPermitsOptions): SharedPermits {
   const { random = Math.random } = options;
   const startedAtMs = options.nowMs;
   const servers = new Map<string, LimitedServer>();
   let routers: readonly string[] = [];
-  let own = '';
+  let selfAddress = '';
   let routersVersion = 0;
-  /** When the last router was heard of that was not known before. */
-  let newestAtMs = startedAtMs;
-  let isOld = false;
+  /** When a router that was not known before was last discovered. */
+  let lastDiscoveryAtMs = startedAtMs;
+  let isWarm = false;
 
   const rateOf = ({ requestsPerSecond = 0 }: LimitedServer) =>
-    Math.max(leastRate, requestsPerSecond);
+    Math.max(minRatePerSecond, requestsPerSecond);
 
-  /** What all buckets of one set hold together: half of what is tolerated, as two sets may follow each other. */
+  /** Capacity of all buckets of one set of issuers: half of what is tolerated, as one set may replace another. */
   function burstOf({ requestsPerSecond = 0 }: LimitedServer): number {
-    const tolerated = toleratedRequests - onTheWay;
+    const tolerated = toleratedRequests - inFlightRequests;
     return (tolerated + toleratedShare * toleratedWindowS * requestsPerSecond) / 2;
   }
 
   /**
-   * Each bucket holds two permits at least. With one, twice as many routers issue, and who asks two of them finds both
-   * empty more often: in replays with less asked than the server takes, 60 of 100 were admitted, now 85.
+   * Each bucket holds at least two permits. With one, twice as many routers issue, and a router that asks two of them
+   * finds both empty more often: in replays with less demand than the rate, 60 of 100 requests were admitted instead of
+   * 85.
    */
   function issuerCount(server: LimitedServer): number {
-    return Math.max(1, Math.min(routers.length, Math.floor(burstOf(server) / leastBucket)));
+    return Math.max(1, Math.min(routers.length, Math.floor(burstOf(server) / minBucketSize)));
   }
 
   function orderOf(serverId: string, server: LimitedServer): readonly string[] {
@@ -138,31 +140,34 @@
     return server.order?.addresses ?? [];
   }
 
-  function turnMs(server: LimitedServer): number {
-    const useMs = (permitsPerTurn * issuerCount(server) * msPerSecond) / rateOf(server);
-    return Math.max(leastTurnMs, useMs, routers.length * turnMsPerRouter);
+  function rotationMs(server: LimitedServer): number {
+    const useMs = (permitsPerRotation * issuerCount(server) * msPerSecond) / rateOf(server);
+    return Math.max(minRotationMs, useMs, routers.length * rotationMsPerRouter);
   }
 
   function issuersOf(serverId: string, server: LimitedServer, nowMs: number): readonly string[] {
     const count = issuerCount(server);
     const order = orderOf(serverId, server);
-    const turn = Math.floor(Math.max(0, nowMs - server.seenAtMs) / turnMs(server));
-    const first = (turn * count) % Math.max(1, order.length);
-    return Array.from({ length: count }, (_none, at) => order[(first + at) % order.length] ?? own);
+    const rotation = Math.floor(Math.max(0, nowMs - server.observedAtMs) / rotationMs(server));
+    const first = (rotation * count) % Math.max(1, order.length);
+    return Array.from(
+      { length: count },
+      (_, index) => order[(first + index) % order.length] ?? selfAddress,
+    );
   }
 
-  const oldAtMs = () => Math.min(newestAtMs + settledMs, startedAtMs + mostYoungMs);
+  const warmAtMs = () => Math.min(lastDiscoveryAtMs + discoveryQuietMs, startedAtMs + maxWarmUpMs);
 
-  /** Once it knows the others a router stays old, whoever comes later. */
-  function isYoung(nowMs: number): boolean {
-    isOld ||= nowMs >= oldAtMs();
-    return !isOld;
+  /** A router that has warmed up stays warm, also when it discovers further routers. */
+  function isWarmingUp(nowMs: number): boolean {
+    isWarm ||= nowMs >= warmAtMs();
+    return !isWarm;
   }
 
-  /** Whether this router issues permits, with its bucket filled up to now. */
+  /** Refills the bucket up to now; returns whether this router issues permits. */
   function refill(serverId: string, server: LimitedServer, nowMs: number): boolean {
-    const isIssuer = isYoung(nowMs) || issuersOf(serverId, server, nowMs).includes(own);
-    const count = isYoung(nowMs) ? assumedRouters : issuerCount(server);
+    const isIssuer = isWarmingUp(nowMs) || issuersOf(serverId, server, nowMs).includes(selfAddress);
+    const count = isWarmingUp(nowMs) ? assumedRouterCount : issuerCount(server);
     if (isIssuer && server.wasIssuer) {
       const elapsedMs = Math.max(0, nowMs - server.filledAtMs);
       server.level += (elapsedMs * rateOf(server)) / count / msPerSecond;
@@ -173,23 +178,28 @@
     return isIssuer;
   }
 
-  function limited(serverId: string): LimitedServer | undefined {
+  function limitedServer(serverId: string): LimitedServer | undefined {
     const server = servers.get(serverId);
     return server?.requestsPerSecond === undefined ? undefined : server;
   }
 
-  function dropVoidGrants(server: LimitedServer, nowMs: number): void {
+  function dropExpiredGrants(server: LimitedServer, nowMs: number): void {
     server.grantedUntilMs = server.grantedUntilMs.filter((untilMs) => untilMs > nowMs);
   }
 
-  function knowServer(serverId: string, nowMs: number): LimitedServer {
+  function getOrCreateServer(serverId: string, nowMs: number): LimitedServer {
     const known = servers.get(serverId);
     if (known !== undefined) {
       return known;
     }
     const server: LimitedServer = {
-      ...{ seenAtMs: -Infinity, ownSeenAtMs: -Infinity, filledAtMs: nowMs, wasIssuer: false },
-      // Issuers that learn of the limit together must not send together.
+      ...{
+        observedAtMs: -Infinity,
+        ownObservedAtMs: -Infinity,
+        filledAtMs: nowMs,
+        wasIssuer: false,
+      },
+      // A random level: issuers that learn of the limit at the same time must not all send at once.
       ...{ level: random(), grantedUntilMs: [] },
     };
     if (servers.size < maxServers) {
@@ -198,53 +208,53 @@
     return server;
   }
 
-  function setWord(
+  function setLimit(
     serverId: string,
     server: LimitedServer,
     requestsPerSecond: number | undefined,
-    seenAtMs: number,
+    observedAtMs: number,
     nowMs: number,
   ): void {
     refill(serverId, server, nowMs);
-    Object.assign(server, { requestsPerSecond, seenAtMs });
+    Object.assign(server, { requestsPerSecond, observedAtMs });
   }
 
   function note(serverId: string, requestsPerSecond: number | undefined, nowMs: number): boolean {
-    if (requestsPerSecond === undefined && limited(serverId) === undefined) {
+    if (requestsPerSecond === undefined && limitedServer(serverId) === undefined) {
       return false;
     }
-    const server = knowServer(serverId, nowMs);
+    const server = getOrCreateServer(serverId, nowMs);
     const before = server.requestsPerSecond;
-    setWord(serverId, server, requestsPerSecond, nowMs, nowMs);
-    server.ownSeenAtMs = nowMs;
-    return isNotable(before, requestsPerSecond);
+    setLimit(serverId, server, requestsPerSecond, nowMs, nowMs);
+    server.ownObservedAtMs = nowMs;
+    return isSignificant(before, requestsPerSecond);
   }
 
-  function hear({ serverId, requestsPerSecond, ageMs }: LimitSighting, nowMs: number): void {
-    const seenAtMs = nowMs - Math.max(0, ageMs);
-    if (requestsPerSecond === undefined && limited(serverId) === undefined) {
+  function applyRemote({ serverId, requestsPerSecond, ageMs }: LimitSighting, nowMs: number): void {
+    const observedAtMs = nowMs - Math.max(0, ageMs);
+    if (requestsPerSecond === undefined && limitedServer(serverId) === undefined) {
       return;
     }
-    const server = knowServer(serverId, nowMs);
-    if (seenAtMs > server.seenAtMs) {
-      setWord(serverId, server, requestsPerSecond, seenAtMs, nowMs);
+    const server = getOrCreateServer(serverId, nowMs);
+    if (observedAtMs > server.observedAtMs) {
+      setLimit(serverId, server, requestsPerSecond, observedAtMs, nowMs);
     }
   }
 
-  /** Permits to be had here: those granted by others, and what the bucket holds while this router issues. */
+  /** Permits available here: those granted by others, and the bucket while this router issues. */
   function available(serverId: string, server: LimitedServer, nowMs: number): number {
-    dropVoidGrants(server, nowMs);
+    dropExpiredGrants(server, nowMs);
     const inBucket = refill(serverId, server, nowMs) ? Math.floor(server.level) : 0;
     return server.grantedUntilMs.length + inBucket;
   }
 
   function mayTake(serverId: string, nowMs: number, count = 1): boolean {
-    const server = limited(serverId);
+    const server = limitedServer(serverId);
     return server === undefined || available(serverId, server, nowMs) >= count;
   }
 
   function take(serverId: string, nowMs: number, count = 1): boolean {
-    const server = limited(serverId);
+    const server = limitedServer(serverId);
     if (server === undefined) {
       return true;
     }
@@ -260,19 +270,19 @@
     setRouters(ownAddress, others, nowMs) {
       const known = new Set(routers);
       if (others.some((address) => !known.has(address))) {
-        newestAtMs = nowMs;
+        lastDiscoveryAtMs = nowMs;
       }
-      own = ownAddress;
+      selfAddress = ownAddress;
       routers = [...new Set([ownAddress, ...others])];
       routersVersion += 1;
     },
     note,
-    hear,
+    hear: applyRemote,
     limitOf: (serverId) => servers.get(serverId)?.requestsPerSecond,
     mayTake,
     take,
     grant(serverId, nowMs) {
-      const server = limited(serverId);
+      const server = limitedServer(serverId);
       if (server === undefined || !refill(serverId, server, nowMs) || server.level < 1) {
         return false;
       }
@@ -280,28 +290,28 @@
       return true;
     },
     noteGranted(serverId, nowMs) {
-      limited(serverId)?.grantedUntilMs.push(nowMs + grantLifetimeMs);
+      limitedServer(serverId)?.grantedUntilMs.push(nowMs + grantLifetimeMs);
     },
     issuers(serverId, nowMs) {
-      const server = limited(serverId);
+      const server = limitedServer(serverId);
       return server === undefined
         ? []
-        : issuersOf(serverId, server, nowMs).filter((address) => address !== own);
+        : issuersOf(serverId, server, nowMs).filter((address) => address !== selfAddress);
     },
     waitMs(serverId, nowMs) {
-      const server = limited(serverId);
+      const server = limitedServer(serverId);
       if (server === undefined || !refill(serverId, server, nowMs)) {
         return server === undefined ? 0 : undefined;
       }
       const perMs = rateOf(server) / issuerCount(server) / msPerSecond;
-      const untilOldMs = isYoung(nowMs) ? oldAtMs() - nowMs : 0;
-      return Math.max(untilOldMs, Math.max(0, 1 - server.level) / perMs);
+      const untilWarmMs = isWarmingUp(nowMs) ? warmAtMs() - nowMs : 0;
+      return Math.max(untilWarmMs, Math.max(0, 1 - server.level) / perMs);
     },
     sightingsSince: (sinceMs, nowMs) =>
       [...servers]
-        .filter(([, { ownSeenAtMs }]) => ownSeenAtMs >= sinceMs)
-        .map(([serverId, { requestsPerSecond, ownSeenAtMs }]) => ({
-          ...{ serverId, requestsPerSecond, ageMs: nowMs - ownSeenAtMs },
+        .filter(([, { ownObservedAtMs }]) => ownObservedAtMs >= sinceMs)
+        .map(([serverId, { requestsPerSecond, ownObservedAtMs }]) => ({
+          ...{ serverId, requestsPerSecond, ageMs: nowMs - ownObservedAtMs },
         })),
     forget(serverId) {
       servers.delete(serverId);
@@ -312,9 +322,9 @@
   };
 }
 
-function isNotable(before: number | undefined, now: number | undefined): boolean {
+function isSignificant(before: number | undefined, now: number | undefined): boolean {
   if (before === undefined || now === undefined) {
     return before !== now;
   }
-  return Math.abs(now - before) > notableChange * before;
+  return Math.abs(now - before) > significantChange * before;
 }
--- a/packages/decisions/src/sharedQuota.ts
+++ b/packages/decisions/src/sharedQuota.ts
@@ -1,21 +1,23 @@
 /**
- * One account for each workspace, kept by all routers together without a call per request. Answers workspaces that send
- * far more than their quota through every router at once, also while routers are cut off from each other, restarted
- * or frozen. Each router keeps the whole account (a bucket filled at the rate, of the size of the burst) and debits what
- * it admits and what others tell that they admitted. Told are sums of one life of a router, never differences, so that
- * a lost or late message is healed by the next.
+ * Enforces each workspace's quota over all routers together, without a call per request. Guards against workspaces that
+ * send far more than their quota through every router at once, also while routers are isolated from each other,
+ * restarted or frozen. Each router keeps the whole token bucket of a workspace (filled at the rate, with the burst as
+ * its size) and debits what it admits itself and what other routers announce. Announcements carry totals over one
+ * incarnation of a router, never differences, so that the next one makes up for a lost or late one.
  *
- * Largest sum admitted in any time T, over all routers of a part of n, with E = overage x (rate x T + burst) + slack:
- * - Heard: an account that is at least zero after a request has admitted at most rate x T + burst, as far as it knows.
- * - On its way: what the others admit until it is heard. In `hearMs` each spends at most the larger of the burst and half
- *   of E, over n, or one request; what is told with the next heartbeat only is a quarter of what is left, over n.
- * - Not heard: who has been silent for `silentMs` is taken to spend its even part, rate / n, and spends no more once it
- *   counts all others as silent itself. Before that each side spends at the rate of what callers ask: with 8 of 24 cut
- *   off and callers spread evenly, at most the rate x 1.5 s x 1/3.
- * - Forgotten: a router that starts brings its even part of the burst, and takes the account of the first older router
- *   that it hears for its own. Where all have started together they have one burst more, which is less than E.
- * What is not bounded: where all n routers are cut off from each other at the same moment, while callers of one workspace
- * ask each of them for its whole rate, n times the rate may be admitted for the first 1.5 s.
+ * Upper bound of what n routers of a shard admit in any time T, with E = overage x (rate x T + burst) + slack:
+ * - Known: a bucket whose level is at least zero after a request has admitted at most rate x T + burst, as far as this
+ *   router knows.
+ * - Not yet propagated: what the others admit before this router learns of it. Within `propagationMs` each of them
+ *   spends at most the larger of the burst and half of E, divided by n, or one request. What is announced only with the
+ *   next heartbeat is a quarter of the remaining level, divided by n.
+ * - Silent: a router without contact for `silenceTimeoutMs` is assumed to spend its even share, rate / n, and spends no
+ *   more than that once it counts all others as silent itself. Before that, each side spends as fast as callers ask:
+ *   with 8 of 24 routers isolated and callers spread evenly, at most the rate x 1.5 s x 1/3.
+ * - Restarted: a router that starts adds its even share of the burst, and adopts the levels of the first older router
+ *   that it hears from. If all routers start together there is one more burst, which is less than E.
+ * Not bounded: if all n routers are isolated from each other at the same moment, while callers of one workspace ask
+ * each of them for its whole rate, n times the rate may be admitted for the first 1.5 s.
  */
 import { createBoundedMap } from './boundedMap';
 import { createQuotaRouters, type QuotaRouter } from './quotaRouters';
@@ -25,7 +27,7 @@
   burst: number;
 }
 
-/** What may be run beyond rate and burst in any window. It is kept for what routers do not hear in time. */
+/** What may run beyond rate and burst in any window. Reserved for what routers do not learn in time. */
 export interface QuotaSlack {
   windowMs: number;
   overageShare: number;
@@ -36,27 +38,28 @@
   name: string;
 }
 
-/** What one router has admitted for one workspace in its life. */
+/** What one router has admitted for one workspace since it started. */
 export interface QuotaUse {
   name: string;
-  /** Less what was given back. */
+  /** Total admitted, less refunds. */
   sum: number;
-  /** What is left in its account; absent where it has just started and does not know. */
+  /** Level of its bucket; absent while it is warming up and does not know. */
   level?: number;
 }
 
-/** What another router tells. */
+/** What another router announces. */
 export interface QuotaNews {
   router: string;
+  /** Identifies the incarnation of the router. */
   life: string;
-  /** It started lately, and does not know what was admitted before. */
+  /** The router has just started and does not know what was admitted before. */
   isYoung: boolean;
   uses: readonly QuotaUse[];
 }
 
 export type QuotaDecision =
   | { kind: 'admitted' }
-  /** Without a time where the account can never hold so much. */
+  /** `retryAfterMs` is absent if the bucket can never hold as much. */
   | { kind: 'limited'; retryAfterMs?: number };
 
 export interface SharedQuotaOptions {
@@ -66,169 +69,168 @@
 }
 
 export interface SharedQuota {
-  /** Those in force; others are without limit. */
+  /** Replaces all quotas; workspaces without one are not limited. */
   setQuotas(quotas: readonly NamedQuota[], nowMs: number): void;
-  /** The routers of this one's part, without itself, and how many there are in all parts. */
-  setRouters(companions: readonly string[], routerCount: number): void;
+  /** Sets the other routers of this router's shard, and the number of routers in all shards. */
+  setRouters(shardPeers: readonly string[], routerCount: number): void;
   take(name: string, cost: number, nowMs: number): QuotaDecision;
-  /** What was taken for a request has certainly not run. */
+  /** Refunds the cost of a request that has certainly not run. */
   giveBack(name: string, cost: number, nowMs: number): void;
-  /** Any word of it: whatever it has admitted is known up to now. */
+  /** A message of the router arrived, so whatever it has admitted up to now is known. */
   noteHeard(router: string, nowMs: number): void;
-  hear(news: QuotaNews, nowMs: number): void;
-  /** It started lately, and does not know what was admitted before. */
+  hear(announcement: QuotaNews, nowMs: number): void;
+  /** This router has just started and does not know what was admitted before. */
   isYoung(nowMs: number): boolean;
-  /** It has stopped and admits nothing more. */
+  /** The router has stopped and admits nothing more. */
   noteLeft(router: string): void;
-  /** What was admitted since `sinceMs`, latest first. */
+  /** Totals that changed since `sinceMs`, latest first. */
   usesSince(sinceMs: number, nowMs: number): QuotaUse[];
-  /** Whether what has not been told yet could matter to others soon. */
+  /** Whether spending that is not announced yet could soon matter to other routers. */
   isUrgent(name: string, nowMs: number): boolean;
+  /** All spending so far has been announced. */
   noteTold(): void;
-  /** What is left of a workspace's account; undefined where it has no limit. */
+  /** Level of a workspace's bucket; undefined if it has no quota. */
   level(name: string, nowMs: number): number | undefined;
 }
 
-interface Account {
+interface Bucket {
   quota: NamedQuota;
   level: number;
   refilledAtMs: number;
-  /** Own spending that others may not have heard. */
-  unheard: number;
-  /** Own spending since others were last told. */
-  untold: number;
-  /** The most that one request has asked for. */
-  largestAsked: number;
+  /** Spending of this router that others may not know of yet. */
+  unpropagated: number;
+  /** Spending of this router since its last announcement. */
+  unannounced: number;
+  /** Largest cost of a single request so far. */
+  largestCost: number;
 }
 
-interface ToldLevel {
+interface AnnouncedLevel {
   level: number;
   atMs: number;
 }
 
-interface OwnUse {
+interface OwnUsage {
   sum: number;
   changedAtMs: number;
 }
 
 const msPerSecond = 1_000;
 const noSlack: QuotaSlack = { windowMs: 0, overageShare: 0, amount: 0 };
-/** From spending to the moment at which others have it: gathering, the way, and their own work. */
-const hearMs = 100;
-/** Of the slack, for what is on its way; the rest is for routers that are cut off or start. */
-const unheardShare = 0.5;
-/** Of the slack, divided like the burst: without it a part of 24 would hold less than most model requests. */
+/** From spending until other routers have applied it: coalescing, transit, and processing at the receiver. */
+const propagationMs = 100;
+/** Part of the slack for spending not yet propagated; the rest is for routers that are isolated or start. */
+const propagationSlackShare = 0.5;
+/** Part of the slack divided like the burst: without it, one of 24 routers could hold less than most model requests. */
 const groupSlackShare = 0.25;
-/** Told at once where all routers that admit as much would take this part of what is left. */
+/** Spending is announced at once if the same by every router would use up this part of the remaining level. */
 const urgentShare = 0.25;
-/** Those refused together come back over this part of their time more. */
-const spread = 0.5;
-const maxAccounts = 8_192;
+/** Spreads the retries of requests refused together: up to this part is added to their waiting time. */
+const retryJitter = 0.5;
+const maxBuckets = 8_192;
 
 export function createSharedQuota(options: SharedQuotaOptions): SharedQuota {
   const { slack = noSlack, random = Math.random } = options;
-  const accounts = new Map<string, Account>();
-  const own = createBoundedMap<string, OwnUse>({ maxEntries: maxAccounts });
+  const buckets = new Map<string, Bucket>();
+  const ownUsage = createBoundedMap<string, OwnUsage>({ maxEntries: maxBuckets });
   const routers = createQuotaRouters(options.nowMs);
-  /** Of accounts that are not open yet. */
-  const toldLevels = createBoundedMap<string, ToldLevel>({ maxEntries: maxAccounts });
-  /** The account is that of a router that was there before. */
-  let hasAdopted = false;
+  /** Levels announced for workspaces whose quota is not configured here yet. */
+  const announcedLevels = createBoundedMap<string, AnnouncedLevel>({ maxEntries: maxBuckets });
+  /** Levels were adopted from a router that was running before this one. */
+  let hasAdoptedLevels = false;
 
-  const rateOf = ({ quota }: Account) => quota.ratePerSecond * routers.partShare();
-  const burstOf = ({ quota }: Account) => quota.burst * routers.partShare();
+  const rateOf = ({ quota }: Bucket) => quota.ratePerSecond * routers.shardShare();
+  const burstOf = ({ quota }: Bucket) => quota.burst * routers.shardShare();
 
   /**
-   * A group that does not hear the others has its part of the burst, and of the slack. One request must fit, or callers
-   * would be told of a time at which there is room, and there never would be.
+   * Routers that are isolated from the others have only their share of the burst and of the slack. One request must
+   * fit, or callers would get a retry time at which there is never room.
    */
-  function mostLevel(account: Account, nowMs: number): number {
-    const burst = burstOf(account);
-    const part = routers.groupShare(nowMs) * (burst + groupSlackShare * slackOf(account));
-    return Math.min(burst, Math.max(part, account.largestAsked));
+  function maxLevel(bucket: Bucket, nowMs: number): number {
+    const burst = burstOf(bucket);
+    const groupLevel = routers.reachableShare(nowMs) * (burst + groupSlackShare * slackOf(bucket));
+    return Math.min(burst, Math.max(groupLevel, bucket.largestCost));
   }
 
-  /** What may be admitted in one window beyond rate and burst, by all routers of the part. */
-  function slackOf({ quota }: Account): number {
+  /** What all routers of the shard may admit in one window beyond rate and burst. */
+  function slackOf({ quota }: Bucket): number {
     const allowed = (quota.ratePerSecond * slack.windowMs) / msPerSecond + quota.burst;
-    return routers.partShare() * (slack.overageShare * allowed + slack.amount);
+    return routers.shardShare() * (slack.overageShare * allowed + slack.amount);
   }
 
-  function refillPerMs(account: Account, nowMs: number): number {
-    return (rateOf(account) * routers.groupShare(nowMs)) / msPerSecond;
+  function refillPerMs(bucket: Bucket, nowMs: number): number {
+    return (rateOf(bucket) * routers.reachableShare(nowMs)) / msPerSecond;
   }
 
-  function refill(account: Account, nowMs: number): void {
-    const elapsedMs = Math.max(0, nowMs - account.refilledAtMs);
-    const more = refillPerMs(account, nowMs) * elapsedMs;
-    account.level = Math.min(mostLevel(account, nowMs), account.level + more);
-    account.unheard = Math.max(
+  function refill(bucket: Bucket, nowMs: number): void {
+    const elapsedMs = Math.max(0, nowMs - bucket.refilledAtMs);
+    const refilled = refillPerMs(bucket, nowMs) * elapsedMs;
+    bucket.level = Math.min(maxLevel(bucket, nowMs), bucket.level + refilled);
+    bucket.unpropagated = Math.max(
       0,
-      account.unheard - (unheardLimit(account, nowMs) * elapsedMs) / hearMs,
+      bucket.unpropagated - (unpropagatedLimit(bucket, nowMs) * elapsedMs) / propagationMs,
     );
-    account.refilledAtMs = nowMs;
+    bucket.refilledAtMs = nowMs;
   }
 
-  function unheardLimit(account: Account, nowMs: number): number {
+  function unpropagatedLimit(bucket: Bucket, nowMs: number): number {
     const count = routers.count(nowMs);
-    return count === 1 && !routers.isYoung(nowMs)
+    return count === 1 && !routers.isWarmingUp(nowMs)
       ? Infinity
-      : Math.max(burstOf(account), unheardShare * slackOf(account)) / count;
+      : Math.max(burstOf(bucket), propagationSlackShare * slackOf(bucket)) / count;
   }
 
-  /** A debt beyond the slack would only come of false news: it must not lock a workspace out for long. */
-  function debit(account: Account, amount: number, nowMs: number): void {
-    refill(account, nowMs);
-    const deepest = -Math.max(slackOf(account), burstOf(account));
-    account.level = Math.min(burstOf(account), Math.max(deepest, account.level - amount));
+  /** Only a false announcement causes a debt beyond the slack: it must not lock a workspace out for long. */
+  function debit(bucket: Bucket, amount: number, nowMs: number): void {
+    refill(bucket, nowMs);
+    const minLevel = -Math.max(slackOf(bucket), burstOf(bucket));
+    bucket.level = Math.min(burstOf(bucket), Math.max(minLevel, bucket.level - amount));
   }
 
-  function openAccount(quota: NamedQuota, nowMs: number): Account {
-    const account: Account = {
+  function createBucket(quota: NamedQuota, nowMs: number): Bucket {
+    const bucket: Bucket = {
       quota,
       level: 0,
       refilledAtMs: nowMs,
-      unheard: 0,
-      untold: 0,
-      largestAsked: 0,
+      unpropagated: 0,
+      unannounced: 0,
+      largestCost: 0,
     };
-    account.level = routers.isYoung(nowMs) ? startLevel(account, nowMs) : burstOf(account);
-    return account;
+    bucket.level = routers.isWarmingUp(nowMs) ? initialLevel(bucket, nowMs) : burstOf(bucket);
+    return bucket;
   }
 
-  /** What an older router has told, or, where all have started together, what those that are heard bring. */
-  function startLevel(account: Account, nowMs: number): number {
-    const told = toldLevels.get(account.quota.name);
-    const toldNow =
-      told === undefined
-        ? burstOf(account)
-        : told.level + ((nowMs - told.atMs) * rateOf(account)) / msPerSecond;
-    return Math.min(mostLevel(account, nowMs), toldNow);
+  /** The level announced by an older router, or the shares of the known routers if all have started together. */
+  function initialLevel(bucket: Bucket, nowMs: number): number {
+    const announced = announcedLevels.get(bucket.quota.name);
+    const currentLevel =
+      announced === undefined
+        ? burstOf(bucket)
+        : announced.level + ((nowMs - announced.atMs) * rateOf(bucket)) / msPerSecond;
+    return Math.min(maxLevel(bucket, nowMs), currentLevel);
   }
 
   function setQuotas(quotas: readonly NamedQuota[], nowMs: number): void {
     const wanted = new Set(quotas.map(({ name }) => name));
-    [...accounts.keys()]
-      .filter((name) => !wanted.has(name))
-      .forEach((name) => accounts.delete(name));
-    quotas.slice(0, maxAccounts).forEach((quota) => {
-      const account = accounts.get(quota.name);
-      if (account === undefined) {
-        accounts.set(quota.name, openAccount(quota, nowMs));
+    [...buckets.keys()].filter((name) => !wanted.has(name)).forEach((name) => buckets.delete(name));
+    quotas.slice(0, maxBuckets).forEach((quota) => {
+      const bucket = buckets.get(quota.name);
+      if (bucket === undefined) {
+        buckets.set(quota.name, createBucket(quota, nowMs));
         return;
       }
-      refill(account, nowMs);
-      account.quota = quota;
-      account.level = Math.min(account.level, burstOf(account));
+      refill(bucket, nowMs);
+      bucket.quota = quota;
+      bucket.level = Math.min(bucket.level, burstOf(bucket));
     });
   }
 
   function take(name: string, cost: number, nowMs: number): QuotaDecision {
-    const account = accounts.get(name);
-    if (account !== undefined) {
-      account.largestAsked = Math.max(account.largestAsked, cost);
-      refill(account, nowMs);
-      const decision = decide(account, cost, nowMs);
+    const bucket = buckets.get(name);
+    if (bucket !== undefined) {
+      bucket.largestCost = Math.max(bucket.largestCost, cost);
+      refill(bucket, nowMs);
+      const decision = decide(bucket, cost, nowMs);
       if (decision.kind === 'limited') {
         return decision;
       }
@@ -237,123 +239,134 @@
     return { kind: 'admitted' };
   }
 
-  function decide(account: Account, cost: number, nowMs: number): QuotaDecision {
-    if (cost > burstOf(account)) {
+  function decide(bucket: Bucket, cost: number, nowMs: number): QuotaDecision {
+    if (cost > burstOf(bucket)) {
       return { kind: 'limited' };
     }
-    if (account.level < cost) {
-      const waitMs = (cost - account.level) / refillPerMs(account, nowMs);
-      return { kind: 'limited', retryAfterMs: waitMs * (1 + spread * random()) };
+    if (bucket.level < cost) {
+      const waitMs = (cost - bucket.level) / refillPerMs(bucket, nowMs);
+      return { kind: 'limited', retryAfterMs: waitMs * (1 + retryJitter * random()) };
     }
-    const isUnheard = account.unheard > 0 && account.unheard + cost > unheardLimit(account, nowMs);
-    return isUnheard
-      ? { kind: 'limited', retryAfterMs: hearMs * (1 + spread * random()) }
+    const exceedsUnpropagated =
+      bucket.unpropagated > 0 && bucket.unpropagated + cost > unpropagatedLimit(bucket, nowMs);
+    return exceedsUnpropagated
+      ? { kind: 'limited', retryAfterMs: propagationMs * (1 + retryJitter * random()) }
       : { kind: 'admitted' };
   }
 
   function spend(name: string, amount: number, nowMs: number): void {
-    const use = own.get(name);
-    own.set(name, { sum: (use?.sum ?? 0) + amount, changedAtMs: nowMs });
-    const account = accounts.get(name);
-    if (account !== undefined) {
-      debit(account, amount, nowMs);
-      account.unheard = Math.max(0, account.unheard + amount);
-      account.untold += amount;
+    const use = ownUsage.get(name);
+    ownUsage.set(name, { sum: (use?.sum ?? 0) + amount, changedAtMs: nowMs });
+    const bucket = buckets.get(name);
+    if (bucket !== undefined) {
+      debit(bucket, amount, nowMs);
+      bucket.unpropagated = Math.max(0, bucket.unpropagated + amount);
+      bucket.unannounced += amount;
     }
   }
 
-  /** What an account has set aside for a router that was not heard for a while. */
-  function presumed(account: Account, { presumedMs }: QuotaRouter, nowMs: number): number {
-    return (presumedMs * rateOf(account)) / routers.count(nowMs) / msPerSecond;
+  /** Spending that was debited in advance for a router while it was silent. */
+  function assumedSpending(
+    bucket: Bucket,
+    { assumedSpendingMs }: QuotaRouter,
+    nowMs: number,
+  ): number {
+    return (assumedSpendingMs * rateOf(bucket)) / routers.count(nowMs) / msPerSecond;
   }
 
-  /** Before a router counts as heard again: until now its even part was set aside. */
+  /** Called before a silent router counts as reachable again: until now its even share was set aside. */
   function refillAll(nowMs: number): void {
-    accounts.forEach((account) => refill(account, nowMs));
+    buckets.forEach((bucket) => refill(bucket, nowMs));
   }
 
-  function hearUse({ name, sum }: QuotaUse, router: QuotaRouter, nowMs: number): void {
-    const more = sum - (router.sums.get(name) ?? 0);
+  function applyUse({ name, sum }: QuotaUse, router: QuotaRouter, nowMs: number): void {
+    const increase = sum - (router.sums.get(name) ?? 0);
     router.sums.set(name, sum);
-    const account = accounts.get(name);
-    if (account === undefined) {
-      changeToldLevel(name, -more);
+    const bucket = buckets.get(name);
+    if (bucket === undefined) {
+      adjustAnnouncedLevel(name, -increase);
     } else {
-      debit(account, more > 0 ? Math.max(0, more - presumed(account, router, nowMs)) : more, nowMs);
+      debit(
+        bucket,
+        increase > 0 ? Math.max(0, increase - assumedSpending(bucket, router, nowMs)) : increase,
+        nowMs,
+      );
     }
   }
 
-  /** What an older router has left counts what all have spent, but for what this one has not told it. */
+  /** An older router's level includes all spending except what this router has not announced yet. */
   function adoptLevel({ name, sum, level }: QuotaUse, router: QuotaRouter, nowMs: number): void {
     router.sums.set(name, sum);
-    const account = accounts.get(name);
+    const bucket = buckets.get(name);
     if (level === undefined) {
       return;
     }
-    if (account === undefined) {
-      toldLevels.set(name, { level, atMs: nowMs });
+    if (bucket === undefined) {
+      announcedLevels.set(name, { level, atMs: nowMs });
       return;
     }
-    refill(account, nowMs);
-    const remaining = level - account.untold;
-    account.level =
-      routers.isYoung(nowMs) && !hasAdopted ? remaining : Math.min(account.level, remaining);
+    refill(bucket, nowMs);
+    const remaining = level - bucket.unannounced;
+    bucket.level =
+      routers.isWarmingUp(nowMs) && !hasAdoptedLevels
+        ? remaining
+        : Math.min(bucket.level, remaining);
   }
 
-  function changeToldLevel(name: string, change: number): void {
-    const told = toldLevels.get(name);
-    if (told !== undefined) {
-      told.level += change;
+  function adjustAnnouncedLevel(name: string, change: number): void {
+    const announced = announcedLevels.get(name);
+    if (announced !== undefined) {
+      announced.level += change;
     }
   }
 
-  /** Routers that start together share what each brings. */
-  function addBurstOfYoung(nowMs: number): void {
-    accounts.forEach((account) => {
-      refill(account, nowMs);
-      const brought = burstOf(account) / routers.count(nowMs);
-      account.level = Math.min(mostLevel(account, nowMs), account.level + brought);
+  /** Routers that start together pool their shares of the burst. */
+  function addNewRouterBurst(nowMs: number): void {
+    buckets.forEach((bucket) => {
+      refill(bucket, nowMs);
+      const contribution = burstOf(bucket) / routers.count(nowMs);
+      bucket.level = Math.min(maxLevel(bucket, nowMs), bucket.level + contribution);
     });
   }
 
-  function hear(
-    { router: address, life, isYoung: isItYoung, uses }: QuotaNews,
+  function applyRemote(
+    { router: address, life: incarnation, isYoung: isSenderWarmingUp, uses }: QuotaNews,
     nowMs: number,
   ): void {
-    const lifeBefore = routers.get(address)?.life;
-    const isNewLife = lifeBefore !== life;
-    const router = noteHeard(address, nowMs);
-    if (isNewLife) {
-      routers.noteNewLife(address, life);
+    const previousIncarnation = routers.get(address)?.incarnation;
+    const isNewIncarnation = previousIncarnation !== incarnation;
+    const router = noteContact(address, nowMs);
+    if (isNewIncarnation) {
+      routers.noteIncarnation(address, incarnation);
     }
-    if (isNewLife && isItYoung && routers.isYoung(nowMs) && !hasAdopted) {
-      addBurstOfYoung(nowMs);
+    if (isNewIncarnation && isSenderWarmingUp && routers.isWarmingUp(nowMs) && !hasAdoptedLevels) {
+      addNewRouterBurst(nowMs);
     }
-    const isOlder = lifeBefore === undefined && !isItYoung;
-    const takeUse = isOlder ? adoptLevel : hearUse;
-    uses.slice(0, maxAccounts).forEach((use) => takeUse(use, router, nowMs));
-    hasAdopted ||= isOlder;
-    router.presumedMs = 0;
+    const isOlderRouter = previousIncarnation === undefined && !isSenderWarmingUp;
+    const applyOne = isOlderRouter ? adoptLevel : applyUse;
+    uses.slice(0, maxBuckets).forEach((use) => applyOne(use, router, nowMs));
+    hasAdoptedLevels ||= isOlderRouter;
+    router.assumedSpendingMs = 0;
   }
 
-  function noteHeard(address: string, nowMs: number): QuotaRouter {
+  function noteContact(address: string, nowMs: number): QuotaRouter {
     if (routers.isSilent(address, nowMs)) {
       refillAll(nowMs);
     }
-    return routers.note(address, nowMs);
+    return routers.noteContact(address, nowMs);
   }
 
   function levelOf(name: string, nowMs: number): number | undefined {
-    const account = accounts.get(name);
-    if (account === undefined) {
+    const bucket = buckets.get(name);
+    if (bucket === undefined) {
       return undefined;
     }
-    refill(account, nowMs);
-    return account.level;
+    refill(bucket, nowMs);
+    return bucket.level;
   }
 
-  function levelToTell(name: string, nowMs: number): number | undefined {
-    return routers.isYoung(nowMs) ? undefined : levelOf(name, nowMs);
+  function levelToAnnounce(name: string, nowMs: number): number | undefined {
+    return routers.isWarmingUp(nowMs) ? undefined : levelOf(name, nowMs);
   }
 
   return {
@@ -361,23 +374,23 @@
     setRouters: routers.set,
     take,
     giveBack: (name, cost, nowMs) => spend(name, -cost, nowMs),
-    noteHeard,
-    hear,
-    isYoung: routers.isYoung,
-    noteLeft: routers.noteLeft,
+    noteHeard: noteContact,
+    hear: applyRemote,
+    isYoung: routers.isWarmingUp,
+    noteLeft: routers.noteStopped,
     usesSince: (sinceMs, nowMs) =>
-      [...own.entries()]
+      [...ownUsage.entries()]
         .filter(([, { changedAtMs }]) => changedAtMs >= sinceMs)
         .reverse()
-        .map(([name, { sum }]) => ({ name, sum, level: levelToTell(name, nowMs) })),
+        .map(([name, { sum }]) => ({ name, sum, level: levelToAnnounce(name, nowMs) })),
     isUrgent(name, nowMs) {
-      const account = accounts.get(name);
-      const alike = (account?.untold ?? 0) * routers.count(nowMs);
-      return account !== undefined && alike > urgentShare * Math.max(0, account.level);
+      const bucket = buckets.get(name);
+      const fleetUnannounced = (bucket?.unannounced ?? 0) * routers.count(nowMs);
+      return bucket !== undefined && fleetUnannounced > urgentShare * Math.max(0, bucket.level);
     },
     noteTold: () =>
-      accounts.forEach((account) => {
-        account.untold = 0;
+      buckets.forEach((bucket) => {
+        bucket.unannounced = 0;
       }),
     level: levelOf,
   };
--- a/packages/decisions/src/streamGuard.ts
+++ b/packages/decisions/src/streamGuard.ts
@@ -1,7 +1,7 @@
 /**
- * Stands between an attempt's frames and the caller. A frame reaches the caller only if it belongs
- * to this attempt and continues exactly where the last one ended; an answer is whole only with its
- * end marker, whose offset equals what was delivered.
+ * Validates an attempt's frames before they reach the caller. A frame is delivered only if it belongs to
+ * this attempt and continues exactly where the last one ended; a response is complete only with its end
+ * marker, whose offset must equal the number of tokens delivered.
  */
 import type { FinishReason, StreamFrame } from '@bluebellhitch/protocol';
 import { assertNever, invariant } from '@bluebellhitch/shared';
@@ -16,11 +16,11 @@
 export const truncationCauses = {
   /** Tokens are missing between two frames. */
   gap: 'gap',
-  /** A frame repeats tokens and adds new ones; text cannot be cut between tokens. */
+  /** A frame repeats tokens and adds new ones; its text cannot be split between tokens. */
   overlap: 'overlap',
-  /** The attempt starts over instead of continuing: its text need not fit to what was delivered. */
+  /** The attempt starts over instead of resuming: its text need not match what was delivered. */
   restarted: 'restarted',
-  /** The end marker's total differs from what was delivered. */
+  /** The end marker's offset differs from the number of tokens delivered. */
   endMismatch: 'end-mismatch',
   /** The stream closed without an end marker. */
   closed: 'closed',
@@ -31,10 +31,10 @@
 
 export type GuardedFrame =
   | { kind: 'deliver'; offset: number; tokenCount: number; text: string }
-  /** Dropped and counted; the stream goes on. */
+  /** Dropped and counted; the stream continues. */
   | { kind: 'ignore'; cause: IgnoredFrameCause }
   | { kind: 'complete'; totalTokens: number; finishReason: FinishReason }
-  /** The attempt cannot become whole; continue it elsewhere behind `deliveredTokens`, or fail. */
+  /** The attempt cannot complete: resume on another server after `deliveredTokens`, or fail. */
   | { kind: 'truncated'; cause: TruncationCause; deliveredTokens: number; receivedOffset?: number }
   | { kind: 'failed'; failure: FailedFrame; deliveredTokens: number };
 
@@ -46,9 +46,9 @@
 
 export interface StreamGuard {
   accept(frame: StreamFrame): GuardedFrame;
-  /** The stream closed: truncated, unless it had ended already. */
+  /** To be called when the stream closes: truncated, unless it has already ended. */
   close(): GuardedFrame;
-  /** Tokens that the caller has, those of earlier attempts included. */
+  /** Tokens delivered to the caller, those of earlier attempts included. */
   deliveredTokens(): number;
   /** Whether the stream completed, failed or was found truncated. */
   ended(): boolean;
@@ -96,8 +96,8 @@
   }
 
   function accept(frame: StreamFrame): GuardedFrame {
-    // An engine that reuses a slot may send a frame of the slot's last request: without this check
-    // the caller would read another caller's text. Every frame echoes its attempt.
+    // An engine that reuses a slot may send a frame of the slot's previous request, so that without this
+    // check the caller would read another caller's text. Every frame carries its attempt id.
     if (frame.attemptId !== attemptId) {
       return ignore(ignoredFrameCauses.foreignAttempt);
     }
@@ -117,7 +117,7 @@
     }
   }
 
-  invariant(startOffset >= 0, 'a stream starts at a token offset');
+  invariant(startOffset >= 0, 'startOffset must not be negative');
   return {
     accept,
     close: () => (ended ? ignore(ignoredFrameCauses.afterEnd) : truncate(truncationCauses.closed)),
--- a/packages/decisions/src/weightedFairOrder.ts
+++ b/packages/decisions/src/weightedFairOrder.ts
@@ -1,29 +1,29 @@
 /**
- * Order of waiting work: weighted fair between flows (start-time fair queueing), earliest deadline
- * first inside a flow. A flow that was idle gets no credit for it, so it cannot starve the others
- * when it comes back.
+ * Ordering of waiting work: weighted fair between flows (start-time fair queueing), earliest deadline
+ * first inside a flow. An idle flow earns no credit, so it cannot starve the others when it becomes
+ * active again.
  */
 
 export interface WaitingItem<Item> {
   item: Item;
-  /** For example the class, or institution and class. */
+  /** Identifies the flow, for example a class, or an institution and class. */
   flow: string;
-  /** Share of the service under contention. */
+  /** Relative share of the flow under contention. */
   weight: number;
   deadlineAtMs: number;
-  /** Work that the item asks for, in any unit that all items share. */
+  /** Work that the item requires, in a unit common to all items; 1 by default. */
   cost?: number;
 }
 
 export interface WeightedFairOrder<Item> {
   add(waiting: WaitingItem<Item>): void;
-  /** The item whose turn it is, without removing it. */
+  /** Returns the next item without removing it. */
   peek(): Item | undefined;
-  /** Removes and returns the item whose turn it is. */
+  /** Removes and returns the next item. */
   next(): Item | undefined;
-  /** Removes an item that gave up. */
+  /** Removes a cancelled item; false if it is not waiting. */
   remove(item: Item): boolean;
-  /** Waiting items of one flow, or of all. */
+  /** Number of waiting items in one flow, or in all. */
   size(flow?: string): number;
   /** All waiting items, flow by flow in deadline order. */
   items(): Item[];
@@ -33,11 +33,11 @@
   name: string;
   /** In deadline order. */
   waiting: WaitingItem<Item>[];
-  /** Virtual time at which the flow's last served item ends. */
+  /** Virtual finish time of the flow's last served item. */
   finish: number;
 }
 
-/** Idle flows are kept only while their virtual time is ahead; beyond this many they are swept. */
+/** With this many flows, idle ones whose finish time has passed are removed. */
 const sweepThreshold = 256;
 
 export function createWeightedFairOrder<Item>(): WeightedFairOrder<Item> {
@@ -57,7 +57,7 @@
     return Math.max(flow.finish, virtualTime);
   }
 
-  /** The flow with the earliest start; among equals the one with the earliest deadline. */
+  /** The flow with the earliest virtual start time; on a tie, the one with the earliest deadline. */
   function nextFlow(): Flow<Item> | undefined {
     return [...flows.values()]
       .filter((flow) => flow.waiting.length > 0)
@@ -117,7 +117,7 @@
   return flow.waiting[0]?.deadlineAtMs ?? Infinity;
 }
 
-/** Behind all items with the same or an earlier deadline; most arrivals belong at the end. */
+/** Index after all items with the same or an earlier deadline; searches from the end, where most arrivals belong. */
 function insertionIndex<Item>(waiting: readonly WaitingItem<Item>[], deadlineAtMs: number): number {
   return waiting.findLastIndex((other) => other.deadlineAtMs <= deadlineAtMs) + 1;
 }
