--- a/packages/decisions/src/leaseTable.ts
+++ b/packages/decisions/src/leaseTable.ts
@@ -96,11 +96,11 @@
     if (demand.kvBytes > capacity.kvBytes || demand.slots > capacity.slots) {
       return undefined;
     }
-    const waiting = promised();
-    const promisedKvBytes = sum(waiting, (lease) => lease.kvBytes);
+    const promisedLeases = promised();
+    const promisedKvBytes = sum(promisedLeases, (lease) => lease.kvBytes);
     const missing = {
       kvBytes: held.kvBytes + promisedKvBytes + demand.kvBytes - capacity.kvBytes,
-      slots: held.slots + waiting.length + demand.slots - capacity.slots,
+      slots: held.slots + promisedLeases.length + demand.slots - capacity.slots,
     };
     return timeUntilReleased([...leases.values()], missing, nowMs);
   }
@@ -220,26 +220,26 @@
     );
   }
 
-  function settle(): Lease[] {
-    const settled: Lease[] = [];
+  function holdPromised(): Lease[] {
+    const granted: Lease[] = [];
     for (const lease of promised()) {
       if (!fits(lease.kvBytes)) {
-        return settled;
+        return granted;
       }
       hold(lease);
-      settled.push(lease);
+      granted.push(lease);
     }
-    return settled;
+    return granted;
   }
 
   function totals(): LeaseTotals {
-    const waiting = promised();
+    const promisedLeases = promised();
     return {
       capacity,
       heldKvBytes: held.kvBytes,
       heldSlots: held.slots,
-      promisedKvBytes: sum(waiting, (lease) => lease.kvBytes),
-      promisedSlots: waiting.length,
+      promisedKvBytes: sum(promisedLeases, (lease) => lease.kvBytes),
+      promisedSlots: promisedLeases.length,
       grantedCount,
       endedCount,
     };
@@ -254,7 +254,7 @@
     lapsed,
     startRelease,
     end,
-    settle,
+    settle: holdPromised,
     totals,
     get: (attemptId) => leases.get(attemptId),
     leases: () => [...leases.values()],
--- a/packages/decisions/src/quarantine.ts
+++ b/packages/decisions/src/quarantine.ts
@@ -105,8 +105,8 @@
     return true;
   }
 
-  function strike(struck: Strike, nowEpochMs: number): boolean {
-    const { service, fingerprint, attemptId, instanceId } = struck;
+  function strike(reported: Strike, nowEpochMs: number): boolean {
+    const { service, fingerprint, attemptId, instanceId } = reported;
     const counted = { attemptId, instanceId, struckAtMs: nowEpochMs };
     const record = { ...emptyRecord(service, fingerprint), strikes: [counted] };
     return merge(record, nowEpochMs);
--- a/packages/decisions/src/sharedQuota.ts
+++ b/packages/decisions/src/sharedQuota.ts
@@ -385,8 +385,8 @@
         .map(([name, { sum }]) => ({ name, sum, level: levelToAnnounce(name, nowMs) })),
     isUrgent(name, nowMs) {
       const bucket = buckets.get(name);
-      const fleetUnannounced = (bucket?.unannounced ?? 0) * routers.count(nowMs);
-      return bucket !== undefined && fleetUnannounced > urgentShare * Math.max(0, bucket.level);
+      const shardUnannounced = (bucket?.unannounced ?? 0) * routers.count(nowMs);
+      return bucket !== undefined && shardUnannounced > urgentShare * Math.max(0, bucket.level);
     },
     noteTold: () =>
       buckets.forEach((bucket) => {
