--- a/packages/protocol/__tests__/changeMessages.test.ts
+++ b/packages/protocol/__tests__/changeMessages.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { decodeToldChanges, encodeToldChanges, isToldChanges } from '@bluebellhitch/protocol';
 
-const told = {
+const message = {
   kindIndex: 1,
   fromRevision: 100,
   toRevision: 107,
@@ -13,20 +13,20 @@
   ],
 };
 
-test('changes are read as they were written', (t) => {
-  t.deepEqual(decodeToldChanges(encodeToldChanges(told)), told);
-  const plain = { ...told, backAgeMs: undefined, changes: [] };
-  t.deepEqual(decodeToldChanges(encodeToldChanges(plain)), plain);
+test('changes survive encoding and decoding', (t) => {
+  t.deepEqual(decodeToldChanges(encodeToldChanges(message)), message);
+  const withoutChanges = { ...message, backAgeMs: undefined, changes: [] };
+  t.deepEqual(decodeToldChanges(encodeToldChanges(withoutChanges)), withoutChanges);
 });
 
-test('an object without a value is no removal', (t) => {
+test('an object with a null value is not decoded as removed', (t) => {
   const change = { kind: 'put' as const, key: 'i-1', revision: 103, value: null };
-  t.deepEqual(decodeToldChanges(encodeToldChanges({ ...told, changes: [change] }))?.changes, [
+  t.deepEqual(decodeToldChanges(encodeToldChanges({ ...message, changes: [change] }))?.changes, [
     change,
   ]);
 });
 
-test('other bytes are no such message', (t) => {
+test('other bytes are not decoded', (t) => {
   t.false(isToldChanges(Buffer.from('[3,"10.0.0.1:7000"]')));
   t.is(decodeToldChanges(Buffer.from('["changes-1",1')), undefined);
   t.is(decodeToldChanges(Buffer.from('["changes-1",1,2,3,-4,null,[]]')), undefined);
--- a/packages/protocol/__tests__/limitMessages.test.ts
+++ b/packages/protocol/__tests__/limitMessages.test.ts
@@ -14,13 +14,13 @@
   { kind: 'permit-answer', number: 8, isGranted: false, waitMs: 400 },
 ];
 
-test('each message comes back as it was', (t) => {
+test('each message survives encoding and decoding', (t) => {
   messages.forEach((message) =>
     t.deepEqual(decodeLimitMessage(encodeLimitMessage(message)), message),
   );
 });
 
-test('further elements of a later format are passed over', (t) => {
+test('additional elements of a later format are ignored', (t) => {
   const later = Buffer.from('["limit-news",[["s1",2,5,"more"]],{"more":1}]');
   t.deepEqual(decodeLimitMessage(later), {
     kind: 'limit-news',
@@ -28,7 +28,7 @@
   });
 });
 
-test('anything else is no message', (t) => {
+test('other bytes are not decoded', (t) => {
   const texts = [
     '',
     '["quota"]',
@@ -42,7 +42,7 @@
   texts.forEach((text) => t.is(decodeLimitMessage(Buffer.from(text)), undefined, text));
 });
 
-test('a datagram holds a bounded number of limits', (t) => {
+test('the number of limits in a datagram is bounded', (t) => {
   const limits = Array.from({ length: 100 }, (_none, at) => ({ serverId: `s${at}`, ageMs: 0 }));
   const bytes = encodeLimitMessage({ kind: 'limit-news', limits });
   const read = decodeLimitMessage(bytes);
--- a/packages/protocol/__tests__/prompt.test.ts
+++ b/packages/protocol/__tests__/prompt.test.ts
@@ -9,7 +9,7 @@
 
 const block = 'x'.repeat(blockTokens * 4);
 
-test('prompts with a shared beginning share exactly the hashes of the full blocks in it', (t) => {
+test('prompts with a common prefix share exactly the hashes of its full blocks', (t) => {
   const left = prefixBlockHashes(`${block}${block}left${block}`);
   const right = prefixBlockHashes(`${block}${block}right${block}`);
   t.is(left.length, 3);
@@ -17,17 +17,17 @@
   t.not(left[2], right[2]);
 });
 
-test('the same block at another place has another hash', (t) => {
+test('the same block at another position has another hash', (t) => {
   const [first, second] = prefixBlockHashes(`${block}${block}`);
   t.not(first, second);
 });
 
-test('a prompt shorter than a block has no hashes, and its length rounds up', (t) => {
+test('a prompt shorter than a block has no hashes, and its token count is rounded up', (t) => {
   t.deepEqual(prefixBlockHashes('short'), []);
   t.is(estimateTokens('short'), 2);
 });
 
-test('sampled hashes tell the cached prefix within a fifth, in far fewer hashes', (t) => {
+test('sampled hashes estimate the cached prefix to within a fifth with far fewer hashes', (t) => {
   const hashes = prefixBlockHashes(
     Array.from({ length: 700 }, (_, index) => `${index}`.padEnd(256)).join(''),
   );
--- a/packages/protocol/__tests__/quotaMessages.test.ts
+++ b/packages/protocol/__tests__/quotaMessages.test.ts
@@ -9,7 +9,7 @@
   type QuotaMessage,
 } from '@bluebellhitch/protocol';
 
-const told: QuotaMessage = {
+const message: QuotaMessage = {
   senderAddress: '10.0.0.1:7400',
   life: 'k3f',
   sequence: 9,
@@ -32,24 +32,24 @@
   },
 ];
 
-/** The same message as a later format would write it, with more at its end. */
+/** The same message as a later format would encode it, with an additional last element. */
 const extended = (bytes: Buffer) =>
   Buffer.from(JSON.stringify([...(JSON.parse(bytes.toString()) as unknown[]), { more: 1 }]));
 
-test('what is written is read again', (t) => {
-  t.deepEqual(decodeQuotaMessage(encodeQuotaMessage(told)), told);
+test('messages survive encoding and decoding', (t) => {
+  t.deepEqual(decodeQuotaMessage(encodeQuotaMessage(message)), message);
   proofs.forEach((proof) => t.deepEqual(decodeProofMessage(encodeProofMessage(proof)), proof));
 });
 
-test('what a later format adds is passed over', (t) => {
-  // Routers that are replaced one after the other must hear each other meanwhile.
-  t.deepEqual(decodeQuotaMessage(extended(encodeQuotaMessage(told))), told);
+test('additional elements of a later format are ignored', (t) => {
+  // During a rolling upgrade, routers of both releases must understand each other.
+  t.deepEqual(decodeQuotaMessage(extended(encodeQuotaMessage(message))), message);
   proofs.forEach((proof) =>
     t.deepEqual(decodeProofMessage(extended(encodeProofMessage(proof))), proof),
   );
 });
 
-test('anything else is no message', (t) => {
+test('other bytes are not decoded', (t) => {
   [
     '',
     '[3,"10.0.0.1:7400"]',
@@ -62,18 +62,18 @@
   });
 });
 
-test('a message of the most workspaces with long names stays within two kilobytes', (t) => {
+test('a message with the maximum number of workspaces stays within two kilobytes', (t) => {
   const uses = Array.from({ length: 1_000 }, (_none, index) => ({
     workspaceName: `workspace-${index}-name`,
     sum: 123_456_789,
     level: 54_321,
   }));
-  const bytes = encodeQuotaMessage({ ...told, uses });
+  const bytes = encodeQuotaMessage({ ...message, uses });
   t.is(decodeQuotaMessage(bytes)?.uses.length, mostToldUses);
   t.true(bytes.length <= 2_048);
 });
 
-test('a proof of the release before, which told no version, is heard', (t) => {
+test('a proof answer of the previous release, without a configuration, is decoded', (t) => {
   const bytes = Buffer.from('["proof-answer",77,530,900]');
   t.deepEqual(decodeProofMessage(bytes), proofs[1] as ProofMessage);
 });
--- a/packages/protocol/__tests__/storePosition.test.ts
+++ b/packages/protocol/__tests__/storePosition.test.ts
@@ -7,7 +7,7 @@
   revision: fc.integer({ min: 0, max: 2 ** 40 - 1 }),
 });
 
-test('a position is its era and its revision, and an era goes before any revision', (t) => {
+test('a position keeps its era and revision, and positions sort by era first', (t) => {
   fc.assert(
     fc.property(part, part, (left, right) => {
       const [a, b] = [left, right].map(({ era, revision }) => storePosition(era, revision));
@@ -25,6 +25,6 @@
   t.pass();
 });
 
-test('in the first era a position is the revision', (t) => {
+test('in the first era a position equals the revision', (t) => {
   t.is(storePosition(0, 105), 105);
 });
--- a/packages/protocol/src/agentMessages.ts
+++ b/packages/protocol/src/agentMessages.ts
@@ -1,9 +1,9 @@
-/** Messages between an entry and the agent beside a backend server. Durations are milliseconds. */
+/** Messages between an entry and the agent that runs beside a backend server. Durations are milliseconds. */
 import * as z from 'zod';
 import { attemptIdSchema, identifierSchema, requestOriginSchema } from './ids';
 import { loadHintSchema } from './load';
 
-/** Asks a candidate how it would serve a request. Reserves nothing. */
+/** Asks a candidate agent how it would serve a request. Reserves nothing. */
 export const bidRequestSchema = z.object({
   service: identifierSchema,
   promptTokens: z.number().int().nonnegative(),
@@ -15,27 +15,27 @@
 export type BidRequest = z.infer<typeof bidRequestSchema>;
 
 export const bidSchema = z.object({
-  /** Changes when the agent restarts; leases of an earlier incarnation are gone. */
+  /** Changes when the agent restarts, which ends all leases of the earlier incarnation. */
   incarnation: identifierSchema,
   load: loadHintSchema,
   /** Prompt tokens that the engine most likely holds in its prefix cache. */
   cachedPrefixTokens: z.number().int().nonnegative(),
-  /** When a reservation made now would be usable; absent where it never would. */
+  /** Time until a reservation made now would be usable; absent if it never would be. */
   usableInMs: z.number().nonnegative().optional(),
-  /** Where another engine fetches KV cache from this one. */
+  /** Address from which other engines fetch KV cache of this one. */
   kvAddress: z.string().optional(),
-  /** Expected wait until a prompt that arrives now is computed here; absent on plain services. */
+  /** Expected wait until a prompt that arrives now has been prefilled here; absent for plain services. */
   prefillWaitMs: z.number().nonnegative().optional(),
-  /** Recent time per uncached prompt token. */
+  /** Recent prefill time per uncached prompt token. */
   prefillMsPerToken: z.number().nonnegative().optional(),
-  /** 97th percentile of recent times between tokens: prompts computed here stretch it. */
+  /** 97th percentile of recent times between tokens; prompts prefilled here raise it. */
   slowStepMs: z.number().nonnegative().optional(),
-  /** Expected time for the prompt's KV cache to leave here, behind those that wait for the link. */
+  /** Expected time to export the prompt's KV cache, including exports queued for the same link. */
   exportMs: z.number().nonnegative().optional(),
 });
 export type Bid = z.infer<typeof bidSchema>;
 
-/** Asks for a lease of the engine's memory or, on a plain service, of a concurrency slot. */
+/** Asks for a lease on the engine's memory or, for a plain service, on a concurrency slot. */
 export const reserveRequestSchema = z.object({
   entryId: identifierSchema,
   /** Changes when the entry restarts. */
@@ -47,11 +47,11 @@
   purpose: z.enum(['prefill', 'decode', 'plain']),
   promptTokens: z.number().int().nonnegative(),
   maxOutputTokens: z.number().int().nonnegative(),
-  /** When the caller needs the slot at the earliest: the end of its prefill and transfer. */
+  /** Earliest time at which the caller needs the slot: the end of its prefill and transfer. */
   neededInMs: z.number().nonnegative(),
-  /** When the caller gives up waiting in the agent's queue. */
+  /** Time after which the caller stops waiting in the agent's queue. */
   waitLimitMs: z.number().nonnegative(),
-  /** Remaining time to the first-token target, for deadline order. */
+  /** Time left until the first-token target; the queue is ordered by it. */
   firstTokenDeadlineInMs: z.number(),
   repeatable: z.boolean(),
 });
@@ -99,7 +99,7 @@
   z.object({
     kind: z.literal('granted'),
     incarnation: identifierSchema,
-    /** The slot is usable after this long; prefill may run meanwhile. */
+    /** Time until the slot is usable; prefill may run meanwhile. */
     usableInMs: z.number().nonnegative(),
     load: loadHintSchema,
   }),
@@ -107,7 +107,7 @@
 ]);
 export type ReserveReply = z.infer<typeof reserveReplySchema>;
 
-/** Runs the prompt on a prefill worker under a lease of that worker. */
+/** Prefills the prompt on a prefill worker, under a lease on that worker. */
 export const prefillRequestSchema = z.object({
   attemptId: attemptIdSchema,
   model: identifierSchema,
@@ -119,13 +119,13 @@
 export const prefillReplySchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('prefilled'),
-    /** Names the exported KV cache at `kvAddress`. */
+    /** Identifies the exported KV cache at `kvAddress`. */
     exportId: identifierSchema,
     kvAddress: z.string(),
     kvBytes: z.number().nonnegative(),
     promptTokens: z.number().int().nonnegative(),
     cachedTokens: z.number().int().nonnegative(),
-    /** The engine drops the export after this long. */
+    /** Time after which the engine deletes the export. */
     keptForMs: z.number().nonnegative(),
     prefillMs: z.number().nonnegative(),
     load: loadHintSchema,
@@ -134,7 +134,7 @@
 ]);
 export type PrefillReply = z.infer<typeof prefillReplySchema>;
 
-/** Where the decode engine gets the prompt's KV cache. */
+/** Source from which the decode engine gets the prompt's KV cache. */
 export const kvSourceSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('transfer'),
@@ -147,7 +147,7 @@
 ]);
 export type KvSource = z.infer<typeof kvSourceSchema>;
 
-/** Body of `POST /streams`; the answer is an event stream of frames, one JSON object an event. */
+/** Body of `POST /streams`; the response is an event stream of frames, one JSON object per event. */
 export const streamRequestSchema = z.object({
   entryId: identifierSchema,
   attemptId: attemptIdSchema,
@@ -155,20 +155,20 @@
   prompt: z.string(),
   source: kvSourceSchema,
   maxOutputTokens: z.number().int().positive(),
-  /** Output that an earlier attempt already delivered; the engine continues behind it. */
+  /** Output that an earlier attempt already delivered; the engine continues after it. */
   emitted: z.object({ tokenCount: z.number().int().nonnegative(), text: z.string() }),
   priority: z.number().int(),
 });
 export type StreamRequest = z.infer<typeof streamRequestSchema>;
 
-/** Keyed by request and attempt; cancelling an unknown attempt succeeds (idempotent). */
+/** Identifies an attempt of an entry. Cancelling an unknown attempt succeeds, so that cancels are idempotent. */
 export const attemptReferenceSchema = z.object({
   entryId: identifierSchema,
   attemptId: attemptIdSchema,
 });
 export type AttemptReference = z.infer<typeof attemptReferenceSchema>;
 
-/** Renews all leases that one entry holds at one agent. Sent only while they share work. */
+/** Renews all leases that one entry holds at one agent. Sent only while the entry holds any. */
 export const heartbeatSchema = z.object({
   entryId: identifierSchema,
   entryIncarnation: identifierSchema,
--- a/packages/protocol/src/agentRouter.ts
+++ b/packages/protocol/src/agentRouter.ts
@@ -1,4 +1,4 @@
-/** The agent's trpc router. Both ends check every message against the schemas. */
+/** The agent's trpc router. Sender and receiver validate every message against the schemas. */
 import { initTRPC } from '@trpc/server';
 import * as z from 'zod';
 import {
@@ -30,7 +30,7 @@
   type WorkerState,
 } from './orderMessages';
 
-/** What an agent does for each message. `signal` aborts when the sender's connection closes. */
+/** An agent's handler for each message. `signal` aborts when the sender's connection closes. */
 export interface AgentHandlers {
   bid(request: BidRequest): Promise<Bid>;
   reserve(request: ReserveRequest, signal?: AbortSignal): Promise<ReserveReply>;
--- a/packages/protocol/src/changeMessages.ts
+++ b/packages/protocol/src/changeMessages.ts
@@ -1,33 +1,33 @@
 /**
- * Datagrams by which routers that watch the platform's objects tell others what changed. Each covers the changes
- * between two revisions, so that a receiver knows whether it has missed any. Routers that do not know the format take it
- * for no message and follow the objects themselves.
+ * Datagrams with which routers that watch the platform's objects relay changes to other routers. Each covers the
+ * changes between two revisions, so that a receiver can detect missed ones. Routers that do not know the format ignore
+ * the datagram and watch the objects themselves.
  */
 import * as z from 'zod';
-import { readDatagram } from './datagram';
+import { parseDatagram } from './datagram';
 import type { StorePosition } from './storePosition';
 
 export type ToldChange =
   | { kind: 'put'; key: string; revision: StorePosition; value: unknown }
   | { kind: 'removed'; key: string; revision: StorePosition };
 
-/** All changes of one kind of objects after one revision, up to and with another. */
+/** All changes to one kind of object after `fromRevision`, up to and including `toRevision`. */
 export interface ToldChanges {
-  /** Which of the kinds that routers follow, in their fixed order. */
+  /** Index into the fixed list of object kinds that routers follow. */
   kindIndex: number;
   fromRevision: StorePosition;
   toRevision: StorePosition;
   changes: ToldChange[];
-  /** Since the platform answered the sender. */
+  /** Time since the platform's last response to the sender. */
   ageMs: number;
-  /** Since the platform came back after it had been away; absent where it was not. */
+  /** Time since the platform became available again after an outage; absent without a recent outage. */
   backAgeMs?: number;
 }
 
 const count = z.number().int().nonnegative();
 const formatName = 'changes-1';
-/** A removed object has no value in its row. */
-const removedLength = 2;
+/** Length of the row of a removed object, which has no value. */
+const removedRowLength = 2;
 const formatStart = Buffer.from(`["${formatName}"`);
 const wireSchema = z.tuple([
   z.literal(formatName),
@@ -46,27 +46,27 @@
     .max(512),
 ]);
 
-export function encodeToldChanges(told: ToldChanges): Buffer {
-  const { kindIndex, fromRevision, toRevision, ageMs, backAgeMs } = told;
-  const rows = told.changes.map(encodeChange);
+export function encodeToldChanges(message: ToldChanges): Buffer {
+  const { kindIndex, fromRevision, toRevision, ageMs, backAgeMs } = message;
+  const rows = message.changes.map(encodeChange);
   const head = [formatName, kindIndex, fromRevision, toRevision, Math.round(ageMs)];
   return Buffer.from(
     JSON.stringify([...head, backAgeMs === undefined ? null : Math.round(backAgeMs), rows]),
   );
 }
 
-/** By its first bytes, before it is parsed. */
+/** Checks only the first bytes, without parsing. */
 export function isToldChanges(bytes: Buffer): boolean {
   return bytes.subarray(0, formatStart.length).equals(formatStart);
 }
 
-/** Undefined for anything that is not such a message. */
+/** Returns undefined for bytes that are not a message of this format. */
 export function decodeToldChanges(bytes: Buffer): ToldChanges | undefined {
-  const read = readDatagram(bytes, wireSchema);
-  if (read === undefined) {
+  const parsed = parseDatagram(bytes, wireSchema);
+  if (parsed === undefined) {
     return undefined;
   }
-  const [, kindIndex, fromRevision, toRevision, ageMs, backAgeMs, rows] = read;
+  const [, kindIndex, fromRevision, toRevision, ageMs, backAgeMs, rows] = parsed;
   return {
     kindIndex,
     fromRevision,
@@ -75,7 +75,7 @@
     backAgeMs: backAgeMs ?? undefined,
     changes: rows.map((row) => {
       const [key, revision] = row;
-      return row.length === removedLength
+      return row.length === removedRowLength
         ? { kind: 'removed', key, revision }
         : { kind: 'put', key, revision, value: row[2] };
     }),
--- a/packages/protocol/src/datagram.ts
+++ b/packages/protocol/src/datagram.ts
@@ -1,8 +1,8 @@
-/** Datagrams between routers are JSON; anything else may arrive at the port. */
+/** Parsing of datagrams between routers. They are JSON, but any bytes may arrive at the port. */
 import type * as z from 'zod';
 
-/** Undefined for bytes that are not what the schema says. */
-export function readDatagram<Schema extends z.ZodType>(
+/** Returns undefined for bytes that are not JSON or do not match the schema. */
+export function parseDatagram<Schema extends z.ZodType>(
   bytes: Buffer,
   schema: Schema,
 ): z.infer<Schema> | undefined {
--- a/packages/protocol/src/entryMessages.ts
+++ b/packages/protocol/src/entryMessages.ts
@@ -2,17 +2,17 @@
 import * as z from 'zod';
 import { identifierSchema, workerRoleSchema } from './ids';
 
-/** Kinds of records that relays spread. Each is versioned on its own. */
+/** Kinds of records that relays distribute. Each kind is versioned separately. */
 export const feedKinds = { accepted: 'accepted', quarantine: 'quarantine' } as const;
 export const feedKindSchema = z.enum(['accepted', 'quarantine']);
 export type FeedKind = z.infer<typeof feedKindSchema>;
 
-/** One record of the feed: the highest generation seen wins, everywhere and always. */
+/** One record of the feed. Every receiver keeps the highest generation that it has seen. */
 export const feedRecordSchema = z.object({
   kind: feedKindSchema,
   key: identifierSchema,
   generation: z.number().int().nonnegative(),
-  /** Removed records stay as tombstones, so that a stale copy cannot bring them back. */
+  /** Removed records are kept as tombstones, so that a stale copy cannot restore them. */
   removed: z.boolean(),
   value: z.unknown(),
 });
@@ -29,52 +29,52 @@
   dataCentre: z.string().min(1),
   /** `http://ip:port` of the inner protocol. */
   innerAddress: z.string().min(1),
-  /** `http://ip:port` for operators, where the platform knows it. */
+  /** `http://ip:port` of the operators' port, if the platform knows it. */
   adminAddress: z.string().min(1).optional(),
   state: z.enum(['live', 'leaving']),
 });
 export type ListedInstance = z.infer<typeof listedInstanceSchema>;
 
-/** Which list of instances a process has, and how long ago it was read from the platform. */
+/** Version of the list of instances that a process has, and the time since it was read from the platform. */
 export const instanceListStateSchema = z.object({
   digest: z.string().max(32),
   ageMs: z.number().nonnegative(),
 });
 export type InstanceListState = z.infer<typeof instanceListStateSchema>;
 
-/** A younger list; without `instances` where it is the one that the asker has. */
+/** A more recent list; `instances` is absent if the requester already has the same list. */
 export const instanceListNewsSchema = instanceListStateSchema.extend({
   instances: z.array(listedInstanceSchema).max(20_000).optional(),
 });
 export type InstanceListNews = z.infer<typeof instanceListNewsSchema>;
 
-/** Long poll: answers at once with everything newer than `cursor`, else after `waitMs`. */
+/** Long poll: replies at once if there are records newer than `cursor`, otherwise after at most `waitMs`. */
 export const feedRequestSchema = z.object({
-  /** Position in this relay's log; absent asks for a snapshot. */
+  /** Position in this relay's log; without it the reply is a snapshot. */
   cursor: z.string().optional(),
   waitMs: z.number().nonnegative().max(60_000),
-  /** Only records of these services, where given; an agent asks for its own service only. */
+  /** Restricts the reply to records of these services; an agent requests only its own service. */
   services: z.array(identifierSchema).optional(),
-  /** The list that the asker has; absent: it wants none. An agent gets the entries only. */
+  /** The list that the requester has; without it the reply has none. An agent gets only the entries. */
   instanceList: instanceListStateSchema.optional(),
 });
 export type FeedRequest = z.infer<typeof feedRequestSchema>;
 
 export const feedReplySchema = z.object({
   cursor: z.string(),
-  /** Whether `records` is everything that the relay knows rather than a delta. */
+  /** Whether `records` holds all records of the relay rather than a delta. */
   snapshot: z.boolean(),
   records: z.array(feedRecordSchema),
   instanceList: instanceListNewsSchema.optional(),
 });
 export type FeedReply = z.infer<typeof feedReplySchema>;
 
-/** A request that was in flight on a backend server that died. */
+/** Report of a request that was in flight on a backend server when the server died. */
 export const strikeSchema = z.object({
   service: identifierSchema,
-  /** Institution and body digest. */
+  /** Identifies the request's content: its institution and the digest of its body. */
   fingerprint: identifierSchema,
-  /** The attempt that was in flight; a strike is counted once for each attempt. */
+  /** The attempt that was in flight; only one strike is counted per attempt. */
   attemptId: identifierSchema,
   instanceId: identifierSchema,
 });
--- a/packages/protocol/src/http.ts
+++ b/packages/protocol/src/http.ts
@@ -1,15 +1,15 @@
-/** Paths and headers of the HTTP parts of the inner protocol, and of the callers' side. */
+/** HTTP paths and headers of the inner protocol, and the headers that callers send. */
 
 export const innerPaths = {
   /** trpc routers of agents and entries. */
   trpc: '/trpc',
-  /** `POST`: a model answer as an event stream of `StreamFrame`. */
+  /** `POST`: a model response as an event stream of `StreamFrame`. */
   streams: '/streams',
-  /** Any method: a plain call, passed to the backend server with this prefix removed. */
+  /** Any method: a plain call, forwarded to the backend server without this prefix. */
   plain: '/plain',
 } as const;
 
-/** Headers between entry and agent on plain calls; removed before the backend server sees the call. */
+/** Headers between entry and agent on plain calls; not forwarded to the backend server. */
 export const innerHeaders = {
   entryId: 'x-bluebell-entry',
   entryIncarnation: 'x-bluebell-entry-incarnation',
@@ -19,15 +19,15 @@
   className: 'x-bluebell-class',
   service: 'x-bluebell-service',
   deadlineInMs: 'x-bluebell-deadline-ms',
-  /** Credentials of the entry; `Authorization` on a plain call is the caller's own. */
+  /** Credentials of the entry, because `Authorization` on a plain call belongs to the caller. */
   authorization: 'x-bluebell-authorization',
-  /** On answers to polls of the feed: proves that a process of the fleet wrote them. */
+  /** On replies to feed polls: a signature that proves that a process of this system wrote the reply. */
   seal: 'x-bluebell-seal',
-  /** On the agent's answer: `true` where the call certainly did not run. */
+  /** On the agent's response: `true` if the call certainly did not run. */
   notRun: 'x-bluebell-not-run',
-  /** On the agent's answer: an `AgentRefusalReason`, where the agent itself answered. */
+  /** On the agent's response: an `AgentRefusalReason`, if the agent itself refused the call. */
   refusal: 'x-bluebell-refusal',
-  /** On the agent's answer: a JSON `LoadHint`. */
+  /** On the agent's response: a JSON `LoadHint`. */
   load: 'x-bluebell-load',
 } as const;
 
--- a/packages/protocol/src/ids.ts
+++ b/packages/protocol/src/ids.ts
@@ -3,11 +3,11 @@
 
 export const identifierSchema = z.string().min(1).max(200);
 
-/** One try to run a request on one backend server. The answer must echo it. */
+/** Identifies one attempt to run a request on one backend server. The response must echo it. */
 export const attemptIdSchema = identifierSchema;
 export type AttemptId = z.infer<typeof attemptIdSchema>;
 
-/** What an engine does for model requests; `both` also serves as a decode worker. */
+/** Role of a worker; a `both` worker serves as a prefill worker and as a decode worker. */
 export const workerRoles = {
   prefill: 'prefill',
   decode: 'decode',
@@ -17,7 +17,7 @@
 export const workerRoleSchema = z.enum(['prefill', 'decode', 'both', 'plain']);
 export type WorkerRole = z.infer<typeof workerRoleSchema>;
 
-/** Who asks: used for fairness, limits and metrics. */
+/** Origin of a request, used for fairness, limits and metrics. */
 export const requestOriginSchema = z.object({
   institution: identifierSchema,
   workspace: identifierSchema.optional(),
--- a/packages/protocol/src/limitMessages.ts
+++ b/packages/protocol/src/limitMessages.ts
@@ -1,17 +1,17 @@
 /**
- * Datagrams by which routers tell each other of the limits that backend servers name, and ask for permits to send to such
- * a server. Further elements of a later format are passed over, and routers that do not know the format take it for no
- * message.
+ * Datagrams with which routers announce the rate limits that backend servers state, and request permits to send to
+ * such a server. Additional elements of later formats are ignored, and routers that do not know the format ignore the
+ * datagram.
  */
 import * as z from 'zod';
-import { readDatagram } from './datagram';
+import { parseDatagram } from './datagram';
 
-/** What the answers of one server say. */
+/** The limit that the responses of one server state. */
 export interface ToldLimit {
   serverId: string;
-  /** Requests a second from all routers together; absent where its answers no longer name a limit. */
+  /** Requests per second from all routers together; absent if its responses no longer state a limit. */
   requestsPerSecond?: number;
-  /** Since the sender read it in an answer. */
+  /** Time since the sender read it in a response. */
   ageMs: number;
 }
 
@@ -22,9 +22,9 @@
 
 export interface PermitQuestion {
   kind: 'permit-question';
-  /** Where the answer goes. */
+  /** `ip:port` to which the answer is sent. */
   senderAddress: string;
-  /** Drawn at random for each question. */
+  /** Random number that matches the answer to its question. */
   number: number;
   serverId: string;
 }
@@ -33,13 +33,13 @@
   kind: 'permit-answer';
   number: number;
   isGranted: boolean;
-  /** Until there may be one, where there is none now. */
+  /** Time until a permit may be available; 0 if one was granted. */
   waitMs: number;
 }
 
 export type LimitMessage = LimitNews | PermitQuestion | PermitAnswer;
 
-/** With ids of 24 characters two thousand bytes. */
+/** Keeps a datagram at about 2,000 bytes with ids of 24 characters. */
 export const mostToldLimits = 48;
 const names = { news: 'limit-news', question: 'permit-question', answer: 'permit-answer' } as const;
 const formatStarts = Object.values(names).map((name) => Buffer.from(`["${name}"`));
@@ -85,19 +85,19 @@
   }
 }
 
-/** Undefined for anything that is not such a message. */
+/** Returns undefined for bytes that are not a message of this format. */
 export function decodeLimitMessage(bytes: Buffer): LimitMessage | undefined {
   if (!formatStarts.some((start) => bytes.subarray(0, start.length).equals(start))) {
     return undefined;
   }
-  const read = readDatagram(bytes, wireSchema);
-  switch (read?.[0]) {
+  const parsed = parseDatagram(bytes, wireSchema);
+  switch (parsed?.[0]) {
     case undefined:
       return undefined;
     case names.news:
       return {
         kind: 'limit-news',
-        limits: read[1].map(([id, requestsPerSecond, ageMs]) => ({
+        limits: parsed[1].map(([id, requestsPerSecond, ageMs]) => ({
           serverId: id,
           requestsPerSecond: requestsPerSecond ?? undefined,
           ageMs,
@@ -106,16 +106,16 @@
     case names.question:
       return {
         kind: 'permit-question',
-        senderAddress: read[1],
-        number: read[2],
-        serverId: read[3],
+        senderAddress: parsed[1],
+        number: parsed[2],
+        serverId: parsed[3],
       };
     case names.answer:
       return {
         kind: 'permit-answer',
-        number: read[1],
-        isGranted: read[2] === 1,
-        waitMs: read[3],
+        number: parsed[1],
+        isGranted: parsed[2] === 1,
+        waitMs: parsed[3],
       };
   }
 }
--- a/packages/protocol/src/orderMessages.ts
+++ b/packages/protocol/src/orderMessages.ts
@@ -1,4 +1,4 @@
-/** Orders to engines, guarded by the fencing number of the duty lease that their sender holds. */
+/** Orders to engines, protected by the fencing number of the duty lease that their sender holds. */
 import * as z from 'zod';
 import { identifierSchema, workerRoleSchema } from './ids';
 
@@ -18,7 +18,7 @@
   service: identifierSchema,
   holderId: identifierSchema,
   fencingNumber: z.number().int().positive(),
-  /** Remaining validity of the holder's lease when it sent the order. */
+  /** Remaining validity of the holder's lease at the time of sending. */
   validForMs: z.number().nonnegative(),
   order: engineOrderSchema,
 });
@@ -33,7 +33,7 @@
 ]);
 export type OrderReply = z.infer<typeof orderReplySchema>;
 
-/** What runs on a worker now, for the holder's reconciliation. */
+/** Current state of a worker, which the lease holder reconciles with the desired state. */
 export const workerStateSchema = z.object({
   incarnation: identifierSchema,
   role: workerRoleSchema,
--- a/packages/protocol/src/peerMessages.ts
+++ b/packages/protocol/src/peerMessages.ts
@@ -1,51 +1,51 @@
 /**
- * Datagrams between routers: what each has in progress at the engines. Amounts are absolute, so that a lost
- * or late datagram is healed by the next, and small, so that a change costs tens of bytes.
+ * Datagrams in which routers report their work in progress at the engines. Amounts are absolute, so that the next
+ * datagram makes up for a lost or late one, and rows are compact, so that a change costs tens of bytes.
  */
 import * as z from 'zod';
-import { readDatagram } from './datagram';
+import { parseDatagram } from './datagram';
 import type { StorePosition } from './storePosition';
 
-/** One stream at an engine, as far as it is known. */
+/** Estimated size of one stream at an engine. */
 export interface StreamOutlook {
   promptTokens: number;
   emittedTokens: number;
-  /** Half of the streams like it end within so many tokens. */
+  /** Median output length of comparable streams. */
   medianOutputTokens: number;
 }
 
-/** What one router has in progress at one engine. */
+/** Work that one router has in progress at one engine. */
 export interface PeerEngineUse {
   serverId: string;
-  /** Streams that hold memory there, or will in a moment. */
+  /** Streams that hold memory at the engine or are about to. */
   streams: StreamOutlook[];
-  /** Prompt tokens that a prefill engine has yet to read for it. */
+  /** Prompt tokens that the engine, as a prefill engine, has yet to process for the router. */
   prefillTokens: number;
-  /** Prompts that a decode engine reads itself for it. */
+  /** Local prefills: prompts that the engine, as a decode engine, prefills itself for the router. */
   ownPrompts: number;
-  /** It did not answer the sender, which looks after it. */
+  /** The engine is unresponsive: it did not answer the sender, which polls it. */
   isSilent: boolean;
 }
 
-/** A router and how long ago it was last heard by anyone. */
+/** A router, and the time since any router last received a message from it. */
 export interface PeerSighting {
   address: string;
   ageMs: number;
 }
 
 export interface PeerMessage {
-  /** `ip:port` where the sender takes such messages. */
+  /** `ip:port` at which the sender receives such messages. */
   senderAddress: string;
-  /** Grows with each message of one life of the sender. */
+  /** Increases with each message of one incarnation of the sender. */
   sequence: number;
-  /** Tells two lives of a sender apart. */
+  /** Identifies an incarnation of the sender, which changes when it restarts. */
   life: string;
-  /** The whole of what the sender has in progress; otherwise only what changed. */
+  /** Whether `engines` covers all of the sender's work in progress rather than only changes. */
   isFull: boolean;
   engines: PeerEngineUse[];
-  /** Other routers that the sender knows. */
+  /** Other routers known to the sender. */
   peers: PeerSighting[];
-  /** For each kind of objects that routers follow: the newest revision that the sender has seen. */
+  /** For each kind of object that routers follow, the newest revision that the sender has seen. */
   seenRevisions: StorePosition[];
 }
 
@@ -53,7 +53,7 @@
 const flag = z.union([z.literal(0), z.literal(1)]);
 const addressSchema = z.string().regex(/^[\d.]{7,15}:\d{1,5}$/);
 
-/** Positions instead of names: the names would be most of a message. */
+/** Values are identified by position, because property names would make up most of a message. */
 const wireSchema = z.tuple([
   z.literal(3),
   addressSchema,
@@ -81,25 +81,25 @@
     use.streams.flatMap(encodeStream),
   ]);
   const head = [formatVersion, senderAddress, life, sequence, isFull ? 1 : 0];
-  const sightings = message.peers.map(({ address, ageMs }) => [
+  const contacts = message.peers.map(({ address, ageMs }) => [
     address,
     Math.round(ageMs / msPerAgeUnit),
   ]);
-  return Buffer.from(JSON.stringify([...head, rows, sightings, message.seenRevisions]));
+  return Buffer.from(JSON.stringify([...head, rows, contacts, message.seenRevisions]));
 }
 
-/** By its first bytes, before it is parsed. */
+/** Checks only the first bytes, without parsing. */
 export function isPeerMessage(bytes: Buffer): boolean {
   return bytes.subarray(0, formatStart.length).equals(formatStart);
 }
 
-/** Undefined for anything that is not such a message. */
+/** Returns undefined for bytes that are not a message of this format. */
 export function decodePeerMessage(bytes: Buffer): PeerMessage | undefined {
-  const read = readDatagram(bytes, wireSchema);
-  if (read === undefined) {
+  const parsed = parseDatagram(bytes, wireSchema);
+  if (parsed === undefined) {
     return undefined;
   }
-  const [, senderAddress, life, sequence, full, rows, sightings, seenRevisions] = read;
+  const [, senderAddress, life, sequence, full, rows, contacts, seenRevisions] = parsed;
   return {
     senderAddress,
     life,
@@ -112,7 +112,7 @@
       ownPrompts,
       isSilent: silent === 1,
     })),
-    peers: sightings.map(([address, age]) => ({ address, ageMs: age * msPerAgeUnit })),
+    peers: contacts.map(([address, age]) => ({ address, ageMs: age * msPerAgeUnit })),
     seenRevisions,
   };
 }
--- a/packages/protocol/src/prompt.ts
+++ b/packages/protocol/src/prompt.ts
@@ -1,11 +1,11 @@
 /**
- * Estimates that entries and agents share: prompt length in tokens and the chained hashes of a
- * prompt's blocks. Engines report the true length with the answer.
+ * Estimates shared by entries and agents: a prompt's length in tokens and the chained hashes of its
+ * blocks. Engines report the actual length with the response.
  */
 import { hash64Hex } from '@bluebellhitch/shared';
 
 const charactersPerToken = 4;
-/** Prefix caches match whole blocks of this many tokens. */
+/** Block size of prefix caches, which match whole blocks only. */
 export const blockTokens = 64;
 const maxBlocks = 1024;
 
@@ -13,7 +13,7 @@
   return Math.ceil(text.length / charactersPerToken);
 }
 
-/** One hash a full block; each covers all text before it, so that equal hashes mean equal prefixes. */
+/** One hash per full block. Each also covers all text before its block, so that equal hashes mean equal prefixes. */
 export function prefixBlockHashes(prompt: string): string[] {
   const blockCharacters = blockTokens * charactersPerToken;
   const blockCount = Math.min(Math.floor(prompt.length / blockCharacters), maxBlocks);
@@ -25,9 +25,9 @@
 }
 
 /**
- * Depths, in blocks, at which bid requests carry a prefix hash: each one about a quarter deeper than
- * the one before. A hash for every block made bids of long prompts kilobytes large; these keep them to
- * a few hundred bytes, and the cached prefix is underestimated by a fifth at most.
+ * Depths, in blocks, at which bid requests carry a prefix hash; each is about a quarter deeper than the
+ * previous one. A hash for every block would make bid requests for long prompts kilobytes large; the sample
+ * keeps them to a few hundred bytes and underestimates the cached prefix by at most a fifth.
  */
 const sampledDepths = sampleDepths(maxBlocks);
 
@@ -36,7 +36,7 @@
   return sampledDepths.flatMap((depth) => hashes[depth - 1] ?? []);
 }
 
-/** Blocks that the first `count` sampled hashes cover. */
+/** Number of blocks that the first `count` sampled hashes cover. */
 export function sampledPrefixDepth(count: number): number {
   return sampledDepths[count - 1] ?? 0;
 }
--- a/packages/protocol/src/proofMessages.ts
+++ b/packages/protocol/src/proofMessages.ts
@@ -1,17 +1,17 @@
 /**
- * Datagrams by which a router that has not looked at the platform itself learns how fresh its configuration is. It asks
- * one that has; the answer repeats the question's number, so that an answer that was on its way for long is counted
- * from the question on. Further elements of a later format are passed over.
+ * Datagrams with which a router that has not read the platform itself learns how current its configuration is. It asks
+ * a router that has read it. The answer repeats the question's number, so that the age of a delayed answer is counted
+ * from the time of the question. Additional elements of later formats are ignored.
  */
 import * as z from 'zod';
-import { readDatagram } from './datagram';
+import { parseDatagram } from './datagram';
 import type { StorePosition } from './storePosition';
 
 export interface ProofQuestion {
   kind: 'question';
-  /** Where the answer goes. */
+  /** `ip:port` to which the answer is sent. */
   senderAddress: string;
-  /** Drawn at random for each question. */
+  /** Random number that matches the answer to its question. */
   number: number;
 }
 
@@ -20,15 +20,15 @@
   number: number;
   /** The newest revision of the configuration that the sender has seen. */
   revision: StorePosition;
-  /** Since the sender began the call of the platform that showed nothing newer; infinite where none has. */
+  /** Time since the sender started the platform call that showed nothing newer; infinite without such a call. */
   ageMs: number;
-  /** The configuration that the sender has in force; absent where it is of a release that does not tell. */
+  /** The configuration in force at the sender; absent if the sender's release does not announce it. */
   configuration?: ToldConfiguration;
 }
 
 export interface ToldConfiguration {
   version: number;
-  /** Since the sender has it in force. */
+  /** Time since it took effect at the sender. */
   ageMs: number;
 }
 
@@ -36,8 +36,8 @@
 
 const questionName = 'proof-question';
 const answerName = 'proof-answer';
-/** In place of infinity. */
-const noProofAgeMs = 1e12;
+/** Encodes infinity, which JSON cannot represent. */
+const infiniteAgeMs = 1e12;
 const formatStart = Buffer.from('["proof-');
 const count = z.number().int().nonnegative();
 const wireSchema = z.union([
@@ -58,29 +58,37 @@
 }
 
 function answerRow({ number, revision, ageMs, configuration }: ProofAnswer): unknown[] {
-  const told =
+  const configurationRow =
     configuration === undefined
       ? null
-      : [configuration.version, Math.min(noProofAgeMs, Math.floor(configuration.ageMs))];
-  return [answerName, number, revision, Math.min(noProofAgeMs, Math.ceil(ageMs)), told];
+      : [configuration.version, Math.min(infiniteAgeMs, Math.floor(configuration.ageMs))];
+  return [
+    answerName,
+    number,
+    revision,
+    Math.min(infiniteAgeMs, Math.ceil(ageMs)),
+    configurationRow,
+  ];
 }
 
-/** Undefined for anything that is not such a message. */
+/** Returns undefined for bytes that are not a message of this format. */
 export function decodeProofMessage(bytes: Buffer): ProofMessage | undefined {
   if (!bytes.subarray(0, formatStart.length).equals(formatStart)) {
     return undefined;
   }
-  const read = readDatagram(bytes, wireSchema);
-  if (read === undefined) {
+  const parsed = parseDatagram(bytes, wireSchema);
+  if (parsed === undefined) {
     return undefined;
   }
-  if (read[0] === questionName) {
-    return { kind: 'question', senderAddress: read[1], number: read[2] };
+  if (parsed[0] === questionName) {
+    return { kind: 'question', senderAddress: parsed[1], number: parsed[2] };
   }
-  const [, number, revision, age, told] = read;
-  const ageMs = age >= noProofAgeMs ? Infinity : age;
+  const [, number, revision, age, configurationRow] = parsed;
+  const ageMs = age >= infiniteAgeMs ? Infinity : age;
   return {
     ...{ kind: 'answer', number, revision, ageMs },
-    ...(told ? { configuration: { version: told[0], ageMs: told[1] } } : {}),
+    ...(configurationRow
+      ? { configuration: { version: configurationRow[0], ageMs: configurationRow[1] } }
+      : {}),
   };
 }
--- a/packages/protocol/src/quotaMessages.ts
+++ b/packages/protocol/src/quotaMessages.ts
@@ -1,34 +1,34 @@
 /**
- * Datagrams by which routers tell each other what they have admitted for workspaces. Amounts are sums of the sender's
- * life, so that a lost or late datagram is healed by the next. Further elements of a later format are passed over, and
- * routers that do not know the format take it for no message.
+ * Datagrams with which routers announce what they have admitted for workspaces. Amounts are totals since the sender
+ * started, so that the next datagram makes up for a lost or late one. Additional elements of later formats are ignored,
+ * and routers that do not know the format ignore the datagram.
  */
 import * as z from 'zod';
-import { readDatagram } from './datagram';
+import { parseDatagram } from './datagram';
 
 export interface ToldUse {
   workspaceName: string;
-  /** Admitted in the sender's life, less what was given back. */
+  /** Total admitted since the sender started, minus refunds. */
   sum: number;
-  /** What the sender's account has left; absent where it has just started. */
+  /** Remaining level of the sender's token bucket; absent if the sender has just started. */
   level?: number;
 }
 
 export interface QuotaMessage {
-  /** `ip:port` where the sender takes such messages. */
+  /** `ip:port` at which the sender receives such messages. */
   senderAddress: string;
-  /** Tells two lives of a sender apart. */
+  /** Identifies an incarnation of the sender, which changes when it restarts. */
   life: string;
-  /** Grows with each message of one life. */
+  /** Increases with each message of one incarnation. */
   sequence: number;
-  /** The sender stops and admits nothing more. */
+  /** The sender is stopping and admits no further requests. */
   isLast: boolean;
-  /** The sender started lately, and does not know what was admitted before. */
+  /** The sender is warming up: it started recently and does not know what was admitted before. */
   isYoung: boolean;
   uses: ToldUse[];
 }
 
-/** With names of twenty characters two thousand bytes. */
+/** Keeps a datagram at about 2,000 bytes with names of 20 characters. */
 export const mostToldUses = 48;
 const formatName = 'quota';
 const formatStart = Buffer.from(`["${formatName}"`);
@@ -66,16 +66,16 @@
   );
 }
 
-/** Undefined for anything that is not such a message. */
+/** Returns undefined for bytes that are not a message of this format. */
 export function decodeQuotaMessage(bytes: Buffer): QuotaMessage | undefined {
   if (!bytes.subarray(0, formatStart.length).equals(formatStart)) {
     return undefined;
   }
-  const read = readDatagram(bytes, wireSchema);
-  if (read === undefined) {
+  const parsed = parseDatagram(bytes, wireSchema);
+  if (parsed === undefined) {
     return undefined;
   }
-  const [, senderAddress, life, sequence, last, young, rows] = read;
+  const [, senderAddress, life, sequence, last, young, rows] = parsed;
   return {
     senderAddress,
     life,
--- a/packages/protocol/src/storePosition.ts
+++ b/packages/protocol/src/storePosition.ts
@@ -1,18 +1,18 @@
 /**
- * Positions in the platform's store. A revision means something only within one era: a store that comes back from an older
- * copy gives its revisions out again, and its era rises by one. So a position is the pair of both, and a later era goes
- * before any revision.
+ * Positions in the platform's store. Revisions are comparable only within one era: a store that is restored from a
+ * backup assigns the same revisions again, and its era increases by one. A position is therefore the pair of era and
+ * revision, ordered by era first.
  *
- * The pair is packed into one number whose order is that of the pairs. It so goes wherever a revision alone went before,
- * in datagrams too: routers of a release that knows no eras hear it and are heard, and in the first era it is the revision.
+ * The pair is packed into one number that sorts in this order, so that it can be used in place of a plain revision,
+ * also in datagrams exchanged with routers of releases without eras. In the first era it equals the revision.
  */
 export type StorePosition = number;
 
 const revisionsPerEra = 2 ** 40;
-/** Larger ones would lose revisions to the precision of a number. */
+/** A larger era would exceed the range of exact integers, and revisions would lose precision. */
 export const maxEra = 2 ** 53 / revisionsPerEra - 1;
 
-/** `revision` is below 2^40: 3,200 changes a second for ten years. */
+/** `revision` must be below 2^40, which is enough for 3,200 changes per second over ten years. */
 export function storePosition(era: number, revision: number): StorePosition {
   return era * revisionsPerEra + revision;
 }
--- a/packages/protocol/src/streamFrame.ts
+++ b/packages/protocol/src/streamFrame.ts
@@ -1,4 +1,4 @@
-/** Frames of a model answer on its way from agent to entry. */
+/** Frames of a model response that an agent streams to an entry. */
 import * as z from 'zod';
 import { agentRefusalReasonSchema, notRunSchema } from './agentMessages';
 import { attemptIdSchema } from './ids';
@@ -7,7 +7,7 @@
 export const finishReasonSchema = z.enum(['stop', 'length']);
 export type FinishReason = z.infer<typeof finishReasonSchema>;
 
-/** `offset` counts output tokens since the request's first token, across attempts. */
+/** `offset` counts output tokens from the request's first token on, across attempts. */
 export const streamFrameSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('tokens'),
@@ -19,7 +19,7 @@
   z.object({
     kind: z.literal('end'),
     attemptId: attemptIdSchema,
-    /** Total output tokens; an answer with fewer is truncated. */
+    /** Total number of output tokens; a response with fewer is truncated. */
     offset: z.number().int().nonnegative(),
     finishReason: finishReasonSchema,
     load: loadHintSchema.optional(),
@@ -30,7 +30,7 @@
     reason: agentRefusalReasonSchema,
     notRun: notRunSchema,
     detail: z.string(),
-    /** The backend server itself died, so that the request may be what killed it. */
+    /** The backend server itself died, possibly because of this request. */
     backendDied: z.boolean(),
     retryAfterMs: z.number().nonnegative().optional(),
   }),
--- a/packages/security/__tests__/innerKeys.test.ts
+++ b/packages/security/__tests__/innerKeys.test.ts
@@ -27,18 +27,18 @@
   t.deepEqual(choice._unsafeUnwrap(), { kind: 'keys', keys: [first, second] });
 });
 
-test('without keys the process starts only where that was asked for', (t) => {
+test('a process without keys starts only if that was requested', (t) => {
   t.regex(findingsOf({}), /--inner-keys \(BLUEBELL_INNER_KEYS\): is required/);
   t.deepEqual(readInnerKeys({ insecureInner: true })._unsafeUnwrap(), { kind: 'insecure' });
 });
 
-test('keys beside the permission to go without them are a contradiction', (t) => {
+test('keys contradict insecureInner, and keys in two settings contradict each other', (t) => {
   t.regex(findingsOf({ innerKeys: pairs[0], insecureInner: true }), /contradicts/);
   t.regex(findingsOf({ innerKeysFile: '/nowhere', insecureInner: true }), /contradicts/);
   t.regex(findingsOf({ innerKeys: pairs[0], innerKeysFile: '/nowhere' }), /contradicts/);
 });
 
-test('all faults of the keys are told at once, and no secret among them', (t) => {
+test('all errors in the keys are reported together, without any secret', (t) => {
   const text = findingsOf({
     innerKeys: `${pairs[0]},a:short,onlyasecretwithoutitskeyidentifier,a:b`,
   });
--- a/packages/security/__tests__/tokens.test.ts
+++ b/packages/security/__tests__/tokens.test.ts
@@ -17,38 +17,38 @@
 
 const inOneMinute = () => Math.floor(Date.now() / 1000) + 60;
 
-test('a token opens what it is for and nothing else', async (t) => {
+test('a token is accepted for its own audience only', async (t) => {
   const { accepts } = createTokenVerifier({ keys: [oldKey] });
   const bearer = await createTokenSigner({ key: oldKey, issuer }).bearer('agent');
   t.false(await accepts(bearer, 'feed'));
   t.true(await accepts(bearer, 'agent'));
-  // Known by now: the kept answer must hold for its audience only, too.
+  // The token is cached by now; the cached result must also apply to its own audience only.
   t.false(await accepts(bearer, 'feed'));
   t.true(await accepts(bearer, 'agent'));
 });
 
-test('no token, and what is none', async (t) => {
-  const { accepts, keptCount } = createTokenVerifier({ keys: [oldKey] });
+test('missing and malformed tokens are refused', async (t) => {
+  const { accepts, cachedCount } = createTokenVerifier({ keys: [oldKey] });
   const values = [undefined, '', 'Bearer ', 'Bearer a.b.c', 'Basic dXNlcjpwYXNz', 'Bearer'];
   const answers = await Promise.all(values.map(async (value) => accepts(value, 'agent')));
   t.deepEqual(
     answers,
     values.map(() => false),
   );
-  t.is(keptCount(), 0);
+  t.is(cachedCount(), 0);
 });
 
-test('a token that another key signed is refused, also under a known key id', async (t) => {
+test('a token signed with an unknown secret is refused, even under a known key id', async (t) => {
   const { accepts } = createTokenVerifier({ keys: [oldKey] });
-  const stranger = { id: oldKey.id, secret: 'a-secret-that-the-fleet-does-not-have' };
+  const foreignKey = { id: oldKey.id, secret: 'a-secret-that-the-fleet-does-not-have' };
   t.false(
-    await accepts(await createTokenSigner({ key: stranger, issuer }).bearer('agent'), 'agent'),
+    await accepts(await createTokenSigner({ key: foreignKey, issuer }).bearer('agent'), 'agent'),
   );
   t.false(await accepts(await createTokenSigner({ key: newKey, issuer }).bearer('agent'), 'agent'));
 });
 
-// A token without a signature names the algorithm `none`; one with a changed payload keeps the signature.
-test('unsigned and changed tokens are refused', async (t) => {
+// An unsigned token states the algorithm `none`; a token with a changed payload keeps the original signature.
+test('unsigned and modified tokens are refused', async (t) => {
   const { accepts } = createTokenVerifier({ keys: [oldKey] });
   const encode = (value: unknown) => Buffer.from(JSON.stringify(value)).toString('base64url');
   const claims = { iss: issuer, aud: 'agent', exp: inOneMinute() };
@@ -59,7 +59,7 @@
   t.false(await accepts([head, encode(claims), signature].join('.'), 'agent'));
 });
 
-test('a token must name its issuer and its expiry', async (t) => {
+test('a token must carry an issuer and an expiry', async (t) => {
   const { accepts } = createTokenVerifier({ keys: [oldKey] });
   const sign = (claims: Record<string, unknown>) => signWith(oldKey.secret, oldKey.id, claims);
   t.false(await accepts(await sign({ aud: 'agent', exp: inOneMinute() }), 'agent'));
@@ -67,9 +67,9 @@
   t.true(await accepts(await sign({ aud: 'agent', iss: issuer, exp: inOneMinute() }), 'agent'));
 });
 
-// Keys are rotated without a gap: first every process learns the new key, then all sign with it, then the
-// old one goes. At each step there are processes of the step before, and all must understand each other.
-test('keys are rotated without a gap', async (t) => {
+// A key is rotated in steps: every process learns the new key, then all sign with it, then the old key is removed.
+// During each step some processes are still at the previous one, and all must accept each other's tokens.
+test('tokens stay valid throughout a key rotation', async (t) => {
   const steps = [[oldKey], [oldKey, newKey], [newKey, oldKey], [newKey]] as const;
   const pairs = steps.slice(1).flatMap((step, index) => {
     const before = steps[index] ?? step;
@@ -94,8 +94,8 @@
   t.false(await createTokenVerifier({ keys: [newKey] }).accepts(retired, 'agent'));
 });
 
-// A token that was read off the wire must be of no use soon after, whether the verifier knows it or not.
-test.serial('an expired token is refused, known or not', async (t) => {
+// A token that was captured in transit must soon become useless, whether the verifier has cached it or not.
+test.serial('an expired token is refused, whether it is cached or not', async (t) => {
   const clock = fakeTimers.install({ toFake: ['Date', 'performance'] });
   t.teardown(() => clock.uninstall());
   const known = createTokenVerifier({ keys: [oldKey] });
@@ -109,7 +109,7 @@
   t.false(await createTokenVerifier({ keys: [oldKey] }).accepts(bearer, 'agent'));
 });
 
-test.serial('a process signs once in half a minute for each audience', async (t) => {
+test.serial('a process signs one token per audience every 30 seconds', async (t) => {
   const clock = fakeTimers.install({ toFake: ['Date', 'performance'] });
   t.teardown(() => clock.uninstall());
   const { bearer } = createTokenSigner({ key: oldKey, issuer });
@@ -121,10 +121,10 @@
   t.not(await bearer('agent'), first);
 });
 
-test.serial('the verifier forgets expired tokens, and keeps no more than its bound', async (t) => {
+test.serial('the verifier removes expired tokens and limits the size of its cache', async (t) => {
   const clock = fakeTimers.install({ toFake: ['Date', 'performance'] });
   t.teardown(() => clock.uninstall());
-  const { accepts, keptCount } = createTokenVerifier({ keys: [oldKey], maxKept: 3 });
+  const { accepts, cachedCount } = createTokenVerifier({ keys: [oldKey], maxCached: 3 });
   const acceptOne = async (name: string) =>
     accepts(await createTokenSigner({ key: oldKey, issuer: name }).bearer('agent'), 'agent');
   await ['a', 'b', 'c', 'd'].reduce(
@@ -134,8 +134,8 @@
       }),
     Promise.resolve(),
   );
-  t.is(keptCount(), 3);
+  t.is(cachedCount(), 3);
   clock.tick(71_000);
   t.true(await acceptOne('e'));
-  t.is(keptCount(), 1);
+  t.is(cachedCount(), 1);
 });
--- a/packages/security/scripts/tokenCost.ts
+++ b/packages/security/scripts/tokenCost.ts
@@ -1,6 +1,6 @@
 /**
- * What the credentials of the inner protocol cost, in µs of processor time: signing, verifying a new
- * token, accepting a known one, and a message to an inner port with and without keys.
+ * Measures the cost of the inner protocol's credentials in µs of processor time: signing, verifying a new
+ * token, accepting a cached one, and a message to an inner port with and without keys.
  *
  *     npx tsx --conditions=bluebell-source packages/security/scripts/tokenCost.ts
  */
@@ -33,7 +33,7 @@
   return (user + system) / count;
 }
 
-async function cheapest(count: number, call: () => unknown): Promise<number> {
+async function minCpuUsPerCall(count: number, call: () => unknown): Promise<number> {
   await cpuUsPerCall(count, call);
   const costs: number[] = [];
   for (let round = 0; round < rounds; round += 1) {
@@ -48,7 +48,7 @@
   close(): Promise<void>;
 }
 
-/** Both ends of a message in this process, over loopback. */
+/** Runs client and server of a message in this process, over loopback. */
 async function startMessageBench(name: string, security: InnerSecurity): Promise<MessageBench> {
   const app = new Hono();
   app.use('*', createInnerGuard({ security, audienceOf: () => innerAudiences.agent }));
@@ -74,7 +74,7 @@
   };
 }
 
-/** In turns, so that a busy machine slows all of them alike. */
+/** Alternates between the benchmarks, so that load on the machine affects all of them equally. */
 async function messageCosts(benches: readonly MessageBench[]): Promise<[string, number][]> {
   const costs = benches.map(({ name }): [string, number] => [name, Infinity]);
   for (let round = 0; round < messageRounds; round += 1) {
@@ -87,27 +87,29 @@
   return costs;
 }
 
-const keyed = createInnerSecurity({ keys: [key], instanceId: 'entry-1' });
+const withKeys = createInnerSecurity({ keys: [key], instanceId: 'entry-1' });
 const benches = [
   await startMessageBench('message without keys', insecureInner),
   await startMessageBench('message with a token that is not checked', {
-    ...keyed,
+    ...withKeys,
     accepts: insecureInner.accepts,
   }),
-  await startMessageBench('message with keys', keyed),
+  await startMessageBench('message with keys', withKeys),
 ];
 const signer = createTokenSigner({ key, issuer: 'entry-1' });
 const renewing = createTokenSigner({ key, issuer: 'entry-1', renewalMs: 0 });
 const verifier = createTokenVerifier({ keys: [key] });
 const bearer = await signer.bearer('agent');
 const rows: [string, number][] = [
-  ['sign', await cheapest(2_000, () => renewing.bearer('agent'))],
+  ['sign', await minCpuUsPerCall(2_000, () => renewing.bearer('agent'))],
   [
     'verify a new token',
-    await cheapest(2_000, () => createTokenVerifier({ keys: [key] }).accepts(bearer, 'agent')),
+    await minCpuUsPerCall(2_000, () =>
+      createTokenVerifier({ keys: [key] }).accepts(bearer, 'agent'),
+    ),
   ],
-  ['take the kept token', await cheapest(200_000, () => signer.bearer('agent'))],
-  ['accept a known token', await cheapest(200_000, () => verifier.accepts(bearer, 'agent'))],
+  ['take the kept token', await minCpuUsPerCall(200_000, () => signer.bearer('agent'))],
+  ['accept a known token', await minCpuUsPerCall(200_000, () => verifier.accepts(bearer, 'agent'))],
   ...(await messageCosts(benches)),
 ];
 rows.forEach(([name, costUs]) => process.stdout.write(`${name}: ${costUs.toFixed(2)} µs\n`));
--- a/packages/security/src/innerGuard.ts
+++ b/packages/security/src/innerGuard.ts
@@ -1,13 +1,13 @@
-/** Stands before every path of an inner port and refuses calls without valid credentials. */
+/** Middleware of inner ports: refuses calls without valid credentials and seals replies. */
 import type { MiddlewareHandler } from 'hono';
 import { agentRefusalReasons, innerHeaders, innerPaths } from '@bluebellhitch/protocol';
 import type { InnerAudience, InnerSecurity } from './innerSecurity';
 
 export interface InnerGuardOptions {
   security: Pick<InnerSecurity, 'accepts'>;
-  /** The audience whose tokens open a path. */
+  /** The audience whose tokens give access to a path. */
   audienceOf(path: string): InnerAudience;
-  /** Told of each refused call. */
+  /** Called for each refused call. */
   onRefused?: () => void;
 }
 
@@ -19,8 +19,8 @@
 } as const;
 
 /**
- * Answers 401 before a body is read. The answer says that nothing ran in the form that entries read, so
- * that an entry whose key is wrong does not take it for an answer of the backend server.
+ * Responds with 401 before the body is read. The response carries the headers by which entries recognise that
+ * nothing ran, so that an entry with a wrong key does not take it for a response of the backend server.
  */
 export function createInnerGuard(options: InnerGuardOptions): MiddlewareHandler {
   const { security, audienceOf, onRefused } = options;
@@ -39,7 +39,7 @@
   };
 }
 
-/** Puts a seal on each reply, whose text is read whole for that. */
+/** Adds a seal to each reply, which requires reading its complete text. */
 export function createReplySealer(security: Pick<InnerSecurity, 'seal'>): MiddlewareHandler {
   return async (context, next) => {
     await next();
@@ -51,7 +51,7 @@
   };
 }
 
-/** A plain call's `Authorization` is its caller's and goes on to the backend server. */
+/** On plain calls `Authorization` belongs to the caller and is forwarded to the backend server. */
 function credentialsHeader(path: string): string {
   const isPlain = path === innerPaths.plain || path.startsWith(`${innerPaths.plain}/`);
   return isPlain ? innerHeaders.authorization : 'authorization';
--- a/packages/security/src/innerKeys.ts
+++ b/packages/security/src/innerKeys.ts
@@ -1,16 +1,16 @@
-/** The keys that the system's own processes share, and the settings that name them. */
+/** The secret keys that the system's own processes share, and the settings that provide them. */
 import { readFileSync } from 'node:fs';
 import { err, ok, Result } from 'neverthrow';
 import * as z from 'zod';
 import { environmentName, flagName, type Finding } from '@bluebellhitch/shared';
 
-/** A shared secret and the id that tokens name it by. */
+/** A shared secret and the key id (`kid`) by which tokens refer to it. */
 export interface InnerKey {
   id: string;
   secret: string;
 }
 
-/** For the settings of a binary, beside its own ones. */
+/** Setting definitions that a binary adds to its own. */
 export const innerSecuritySettings = {
   innerKeys: {
     schema: z.string().optional(),
@@ -36,14 +36,14 @@
   insecureInner: boolean;
 }
 
-/** `insecure` only where operators asked for it by name. */
+/** `insecure` only if operators requested it explicitly. */
 export type InnerKeyChoice = { kind: 'keys'; keys: InnerKey[] } | { kind: 'insecure' };
 
-/** HS256 asks for a key of at least the length of its hash. */
+/** HS256 requires a key at least as long as its hash. */
 const minSecretBytes = 32;
 const keyIdPattern = /^[\w.-]{1,64}$/;
 
-/** Reads the keys, or tells all that keeps the process from starting with them. */
+/** Reads the keys, or returns all findings that prevent the process from starting. */
 export function readInnerKeys(settings: InnerSecuritySettings): Result<InnerKeyChoice, Finding[]> {
   const { innerKeys, innerKeysFile, insecureInner } = settings;
   const given = [innerKeys, innerKeysFile].filter((setting) => setting !== undefined);
@@ -85,16 +85,16 @@
   return { id: pair.slice(0, Math.max(0, colon)), secret: pair.slice(colon + 1) };
 }
 
-/** Names keys by their position: a message must not show what may be a secret. */
+/** Refers to keys by their position, because a message must not contain anything that may be a secret. */
 function findKeyFaults(keys: readonly InnerKey[]): string[] {
   if (keys.length === 0) {
     return ['holds no key'];
   }
   return keys.flatMap(({ id, secret }, index) => {
-    const isTwice = keys.findIndex((other) => other.id === id) !== index;
+    const isDuplicate = keys.findIndex((other) => other.id === id) !== index;
     return [
       ...(keyIdPattern.test(id) ? [] : [`pair ${index + 1} is not kid:secret`]),
-      ...(isTwice ? [`pair ${index + 1} has the kid of an earlier one`] : []),
+      ...(isDuplicate ? [`pair ${index + 1} has the kid of an earlier one`] : []),
       ...(Buffer.byteLength(secret) < minSecretBytes
         ? [`the secret of pair ${index + 1} is shorter than ${minSecretBytes} bytes`]
         : []),
--- a/packages/security/src/innerSecurity.ts
+++ b/packages/security/src/innerSecurity.ts
@@ -1,31 +1,31 @@
 /**
- * How the system's own processes prove to each other who they are: short-lived signed tokens. Whoever
- * lacks a key can neither reserve memory nor give orders nor report strikes.
+ * Authentication between the system's own processes by short-lived signed tokens. A process without a key
+ * can neither reserve memory nor send orders nor report strikes.
  */
 import { createReplySeals } from './replySeal';
 import { createTokenSigner } from './tokenSigner';
 import { createTokenVerifier } from './tokenVerifier';
 import type { InnerKey, InnerKeyChoice } from './innerKeys';
 
-/** What a token is good for: one taken from a call to one port is of no use at another. */
+/** Audiences of tokens: a token captured from a call to one port is not accepted at another. */
 export const innerAudiences = { entry: 'entry', agent: 'agent', feed: 'feed' } as const;
 export type InnerAudience = (typeof innerAudiences)[keyof typeof innerAudiences];
 
 export interface InnerSecurity {
-  /** Value of the credentials' header; absent where calls carry none. */
+  /** Value of the credentials header; absent if calls carry no credentials. */
   bearer(audience: InnerAudience): Promise<string | undefined>;
-  /** Whether the value of a credentials' header allows calls of the audience. */
+  /** Whether the value of a credentials header permits calls of the audience. */
   accepts(bearer: string | undefined, audience: InnerAudience): boolean | Promise<boolean>;
-  /** Proves that a reply's text is the fleet's own; absent where replies carry none. */
+  /** Signature that proves that a process of this system wrote a reply; absent if replies are not signed. */
   seal(text: string): Promise<string | undefined>;
   isSealed(text: string, seal: string | undefined): Promise<boolean>;
 }
 
-/** What callers of other processes need. */
+/** The part that a process needs for calling other processes. */
 export type InnerCredentials = Pick<InnerSecurity, 'bearer' | 'isSealed'>;
 
 export interface InnerSecurityOptions {
-  /** The first signs, all verify. */
+  /** The first key signs; all keys verify. */
   keys: readonly [InnerKey, ...InnerKey[]];
   /** Issuer of the tokens. */
   instanceId: string;
@@ -46,7 +46,7 @@
   return { bearer: signer.bearer, accepts: verifier.accepts, ...seals };
 }
 
-/** The security that the settings chose. */
+/** Creates the security that the settings select. */
 export function innerSecurityOf(choice: InnerKeyChoice, instanceId: string): InnerSecurity {
   if (choice.kind === 'insecure') {
     return insecureInner;
--- a/packages/security/src/replySeal.ts
+++ b/packages/security/src/replySeal.ts
@@ -1,7 +1,8 @@
 /**
- * Seals of replies. Whoever took over the address of an entry that is gone gets the polls of its followers
- * and could answer them with documents of its own; without a seal by one of the fleet's keys over the very
- * text, a reply is thrown away. An old reply sent again does no harm: generations never go down.
+ * Seals (signatures) of replies. A foreign process that takes over the address of a stopped entry receives the
+ * polls of its followers and could reply with forged documents. A reply without a seal of its exact text, signed
+ * with one of the shared keys, is therefore discarded. A replayed old reply is harmless, because generations
+ * never decrease.
  */
 import { createHash } from 'node:crypto';
 import { errors, jwtVerify, SignJWT } from 'jose';
@@ -14,7 +15,7 @@
   isSealed(text: string, seal: string | undefined): Promise<boolean>;
 }
 
-/** Not one of the audiences that open a path, so that a seal is no token. */
+/** Differs from the audiences that give access to a path, so that a seal cannot be used as a token. */
 const sealAudience = 'reply';
 
 export function createReplySeals(
--- a/packages/security/src/sealedFetch.ts
+++ b/packages/security/src/sealedFetch.ts
@@ -1,4 +1,4 @@
-/** A `fetch` for trpc links that takes only replies with a seal. */
+/** A `fetch` for trpc links that accepts only replies with a valid seal. */
 import { innerHeaders } from '@bluebellhitch/protocol';
 import type { InnerSecurity } from './innerSecurity';
 
--- a/packages/security/src/sharedSecrets.ts
+++ b/packages/security/src/sharedSecrets.ts
@@ -1,9 +1,9 @@
-/** Finds the secret that a token names. */
+/** Lookup of the secret whose key id a token carries. */
 import { createSecretKey, type KeyObject } from 'node:crypto';
 import { errors, type JWTHeaderParameters } from 'jose';
 import type { InnerKey } from './innerKeys';
 
-/** For `jwtVerify`: fails as for a bad signature where no key has the id. */
+/** Key lookup for `jwtVerify`. Throws a JOSE error for an unknown key id, as for an invalid signature. */
 export function createSecretLookup(keys: readonly InnerKey[]) {
   const secrets = new Map(keys.map((key) => [key.id, secretOf(key)]));
   return ({ kid }: JWTHeaderParameters): KeyObject => {
--- a/packages/security/src/tokenSigner.ts
+++ b/packages/security/src/tokenSigner.ts
@@ -1,4 +1,4 @@
-/** Signs the tokens of one process: one for each audience, kept and renewed well before it expires. */
+/** Signs the tokens of one process: one per audience, cached and renewed well before it expires. */
 import { SignJWT } from 'jose';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { InnerKey } from './innerKeys';
@@ -13,11 +13,11 @@
 }
 
 export interface TokenSigner {
-  /** `Bearer` and the token. */
+  /** Returns the value of the credentials header: `Bearer` and the token. */
   bearer(audience: string): Promise<string>;
 }
 
-interface KeptToken {
+interface CachedToken {
   bearer: Promise<string>;
   renewAtMs: number;
 }
@@ -25,8 +25,8 @@
 export function createTokenSigner(options: TokenSignerOptions): TokenSigner {
   const { key, issuer, lifetimeMs = tokenLifetimeMs, renewalMs = tokenRenewalMs } = options;
   const secret = secretOf(key);
-  /** By audience, of which there are few. */
-  const kept = new Map<string, KeptToken>();
+  /** By audience, of which there are only a few. */
+  const cachedTokens = new Map<string, CachedToken>();
 
   async function sign(audience: string): Promise<string> {
     const nowEpochMs = Date.now();
@@ -42,12 +42,12 @@
 
   function bearer(audience: string): Promise<string> {
     const nowMs = monotonicNowMs();
-    const known = kept.get(audience);
-    if (known !== undefined && nowMs < known.renewAtMs) {
-      return known.bearer;
+    const cached = cachedTokens.get(audience);
+    if (cached !== undefined && nowMs < cached.renewAtMs) {
+      return cached.bearer;
     }
     const renewed = { bearer: sign(audience), renewAtMs: nowMs + renewalMs };
-    kept.set(audience, renewed);
+    cachedTokens.set(audience, renewed);
     return renewed.bearer;
   }
 
--- a/packages/security/src/tokenVerifier.ts
+++ b/packages/security/src/tokenVerifier.ts
@@ -1,6 +1,6 @@
 /**
- * Verifies tokens of other processes. A token is verified once and then known by its text until it
- * expires, so that a call costs a look into a map.
+ * Verifies tokens of other processes. A verified token is cached by its text until it expires, so that later
+ * calls with it cost only a map lookup.
  */
 import { errors, jwtVerify, type JWTPayload } from 'jose';
 import type { InnerKey } from './innerKeys';
@@ -8,31 +8,31 @@
 import { bearerScheme, clockToleranceMs, tokenAlgorithm } from './tokenFormat';
 
 export interface TokenVerifierOptions {
-  /** A token names the one that signed it. */
+  /** A token carries the id of the key that signed it. */
   keys: readonly InnerKey[];
-  /** Verified tokens that are kept; the oldest goes first. */
-  maxKept?: number;
+  /** Maximum number of cached tokens; the oldest one is evicted first. */
+  maxCached?: number;
 }
 
 export interface TokenVerifier {
   /** Whether the header's value is a valid token for the audience. */
   accepts(bearer: string | undefined, audience: string): boolean | Promise<boolean>;
-  keptCount(): number;
+  cachedCount(): number;
 }
 
-interface KeptToken {
+interface CachedToken {
   audience: string;
   validUntilEpochMs: number;
 }
 
-/** Each process sends one token an audience in 30 s; an entry is polled by a few hundred at most. */
-const defaultMaxKept = 2048;
+/** Each process sends one token per audience in 30 s, and at most a few hundred processes poll an entry. */
+const defaultMaxCached = 2048;
 
 export function createTokenVerifier(options: TokenVerifierOptions): TokenVerifier {
-  const { keys, maxKept = defaultMaxKept } = options;
+  const { keys, maxCached = defaultMaxCached } = options;
   const secretFor = createSecretLookup(keys);
-  /** By the header's value. Only valid tokens get in, so that strangers cannot fill it. */
-  const kept = new Map<string, KeptToken>();
+  /** By header value. Only valid tokens are cached, so that unauthenticated callers cannot fill the cache. */
+  const cachedTokens = new Map<string, CachedToken>();
 
   async function verify(bearer: string, audience: string): Promise<boolean> {
     if (!bearer.startsWith(bearerScheme)) {
@@ -46,7 +46,7 @@
         clockTolerance: clockToleranceMs / 1000,
         currentDate: new Date(),
       });
-      keep(bearer, audience, payload);
+      addToCache(bearer, audience, payload);
       return true;
     } catch (error) {
       if (error instanceof errors.JOSEError) {
@@ -56,22 +56,22 @@
     }
   }
 
-  function keep(bearer: string, audience: string, { exp = 0 }: JWTPayload): void {
+  function addToCache(bearer: string, audience: string, { exp = 0 }: JWTPayload): void {
     dropExpired();
-    kept.set(bearer, { audience, validUntilEpochMs: exp * 1000 + clockToleranceMs });
-    if (kept.size > maxKept) {
-      kept.delete(kept.keys().next().value as string);
+    cachedTokens.set(bearer, { audience, validUntilEpochMs: exp * 1000 + clockToleranceMs });
+    if (cachedTokens.size > maxCached) {
+      cachedTokens.delete(cachedTokens.keys().next().value as string);
     }
   }
 
-  /** Tokens expire about in the order of their arrival. */
+  /** Stops at the first valid token, because tokens expire approximately in order of arrival. */
   function dropExpired(): void {
     const nowEpochMs = Date.now();
-    for (const [bearer, { validUntilEpochMs }] of kept) {
+    for (const [bearer, { validUntilEpochMs }] of cachedTokens) {
       if (nowEpochMs < validUntilEpochMs) {
         return;
       }
-      kept.delete(bearer);
+      cachedTokens.delete(bearer);
     }
   }
 
@@ -80,11 +80,11 @@
       if (bearer === undefined) {
         return false;
       }
-      const known = kept.get(bearer);
-      return known === undefined
+      const cached = cachedTokens.get(bearer);
+      return cached === undefined
         ? verify(bearer, audience)
-        : known.audience === audience && Date.now() < known.validUntilEpochMs;
+        : cached.audience === audience && Date.now() < cached.validUntilEpochMs;
     },
-    keptCount: () => kept.size,
+    cachedCount: () => cachedTokens.size,
   };
 }
--- a/packages/shared/__tests__/hash.test.ts
+++ b/packages/shared/__tests__/hash.test.ts
@@ -4,7 +4,7 @@
 
 const identity = (member: string) => member;
 
-test('removing a member keeps the order of all others', (t) => {
+test('removing a member keeps the order of the others', (t) => {
   const members = fc.uniqueArray(fc.string({ minLength: 1, maxLength: 8 }), {
     minLength: 2,
     maxLength: 20,
@@ -20,7 +20,7 @@
   );
 });
 
-test('keys spread over the members', (t) => {
+test('keys are distributed evenly over the members', (t) => {
   const members = Array.from({ length: 10 }, (_, index) => `instance-${index}`);
   const firsts = Array.from(
     { length: 10_000 },
--- a/packages/shared/__tests__/runningTimer.test.ts
+++ b/packages/shared/__tests__/pauseTolerantTimer.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { startRunningTimer } from '@bluebellhitch/shared';
 
-test.serial('a timer ends after its time, once', (t) => {
+test.serial('a timer elapses once, after its timeout', (t) => {
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout'] });
   try {
     let ended = 0;
@@ -18,7 +18,7 @@
   }
 });
 
-test.serial('a stopped timer never ends, whichever slice it was in', (t) => {
+test.serial('a timer that is stopped in a later slice never elapses', (t) => {
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout'] });
   try {
     const timer = startRunningTimer(400, () => t.fail());
@@ -31,7 +31,7 @@
   }
 });
 
-test('a pause of the process counts for one slice', async (t) => {
+test('a pause of the process counts as one slice', async (t) => {
   const startedAtMs = performance.now();
   const ended = new Promise<number>((resolve) => {
     startRunningTimer(160, () => resolve(performance.now() - startedAtMs));
--- a/packages/shared/__tests__/runningTimerLength.test.ts
+++ b/packages/shared/__tests__/pauseTolerantTimerLength.test.ts
@@ -2,9 +2,9 @@
 import test from 'ava';
 import { startRunningTimer } from '@bluebellhitch/shared';
 
-test('a time-out is never shorter than it was asked for', (t) => {
-  // The caller of a server that hangs would be told that its answer was lost, some milliseconds before the route's
-  // time-out: the runtime cuts each slice to whole milliseconds.
+test('a timer never elapses before its timeout', (t) => {
+  // The runtime truncates each slice to whole milliseconds. A caller of a server that hangs would otherwise get a lost
+  // response reported some milliseconds before the route's timeout.
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] });
   t.teardown(() => clock.uninstall());
   [149.9, 15.9, 1.2].forEach((timeoutMs) => {
--- a/packages/shared/__tests__/random.test.ts
+++ b/packages/shared/__tests__/random.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { fromAnyPlace } from '@bluebellhitch/shared';
 
-test('a list is gone through once, begun at any of its places', (t) => {
+test('the rotated list has every item once and starts at the random offset', (t) => {
   t.deepEqual(
     fromAnyPlace([1, 2, 3], () => 0),
     [1, 2, 3],
--- a/packages/shared/__tests__/settings.test.ts
+++ b/packages/shared/__tests__/settings.test.ts
@@ -23,7 +23,7 @@
   });
 }
 
-test('a flag goes before the environment, and the environment before the default', async (t) => {
+test('a flag takes precedence over the environment, and the environment over the default', async (t) => {
   const env = { BLUEBELL_PLATFORM_URL: 'http://127.0.0.1:1', BLUEBELL_INSTANCE_ID: 'from-env' };
   const settings = (await resolve(['--instance-id', 'from-flag'], env))._unsafeUnwrap();
   t.deepEqual(settings, {
@@ -43,13 +43,13 @@
   t.regex(text, /--colour: unknown setting/);
 });
 
-test('names of flags and variables follow the name of the setting', (t) => {
+test('names of flags and variables are derived from the name of the setting', (t) => {
   t.is(environmentName('kvLinkRate'), 'BLUEBELL_KV_LINK_RATE');
   t.is(flagName('kvLinkRate'), '--kv-link-rate');
 });
 
-// `--switch` alone reads as yes. An empty variable must not: it is how scripts pass what they do not have.
-test('a switch may be given without a value, and only as a flag', async (t) => {
+// `--switch` without a value means true. An empty variable must not, because scripts pass unset values this way.
+test('only the flag of a switch may be given without a value', async (t) => {
   const options = {
     binaryName: 'bluebell-sample',
     version: '0.0.0',
--- a/packages/shared/src/backgroundLoop.ts
+++ b/packages/shared/src/backgroundLoop.ts
@@ -1,27 +1,27 @@
-/** A task of one process that runs until it is told to stop. */
+/** A background task that runs until it is stopped. */
 
 export interface BackgroundLoop {
-  /** No effect while it runs. */
+  /** Has no effect while the task runs. */
   start(): void;
   /** Resolves once the task has ended. */
   stop(): Promise<void>;
 }
 
-/** `run` ends when its signal aborts. */
+/** `run` must resolve once its signal aborts. */
 export function createBackgroundLoop(run: (signal: AbortSignal) => Promise<void>): BackgroundLoop {
-  let running: { stopping: AbortController; ended: Promise<void> } | undefined;
+  let running: { controller: AbortController; ended: Promise<void> } | undefined;
   return {
     start() {
       if (running === undefined) {
-        const stopping = new AbortController();
-        running = { stopping, ended: run(stopping.signal) };
+        const controller = new AbortController();
+        running = { controller, ended: run(controller.signal) };
       }
     },
     async stop() {
-      const last = running;
+      const stopped = running;
       running = undefined;
-      last?.stopping.abort();
-      await last?.ended;
+      stopped?.controller.abort();
+      await stopped?.ended;
     },
   };
 }
--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -1,6 +1,6 @@
 /**
- * The runtime's clock. Durations and deadlines use the monotonic clock, so that a step of the wall
- * clock cannot extend a lease. Tests replace the globals with fake timers.
+ * The clock of the runtime. Durations and deadlines use the monotonic clock, so that a step of the wall
+ * clock cannot extend a lease. Tests replace the globals by fake timers.
  */
 
 export function monotonicNowMs(): number {
--- a/packages/shared/src/clockReading.ts
+++ b/packages/shared/src/clockReading.ts
@@ -1,6 +1,7 @@
 /**
- * Both clocks at one moment. The monotonic clock does not count the time for which a machine was suspended, and the
- * time of day may be stepped: where they disagree on how long ago a moment was, its age is not known.
+ * Readings of the monotonic clock and the wall clock taken together. The monotonic clock does not count time during
+ * which the machine was suspended, and the wall clock may be stepped; if they disagree on the age of a reading, the
+ * age is unknown.
  */
 import { monotonicNowMs } from './clock';
 
@@ -10,7 +11,7 @@
   wallMs: number;
 }
 
-/** Far above what a clock is corrected by in some seconds, below any suspension or step that would matter. */
+/** Well above what clock synchronisation adjusts within seconds, and below any suspension or step that matters. */
 const toleranceMs = 100;
 
 export function readClocks(): ClockReading {
@@ -21,7 +22,7 @@
   return { monotonicMs: reading.monotonicMs - durationMs, wallMs: reading.wallMs - durationMs };
 }
 
-/** Infinite where the clocks disagree. */
+/** Returns infinity if the clocks disagree. */
 export function ageMsOf(reading: ClockReading, now: ClockReading = readClocks()): number {
   const monotonicMs = now.monotonicMs - reading.monotonicMs;
   const wallMs = now.wallMs - reading.wallMs;
--- a/packages/shared/src/finding.ts
+++ b/packages/shared/src/finding.ts
@@ -1,9 +1,9 @@
-/** Findings: problems collected with their place and reported together. */
+/** Findings: problems that are collected with their locations and reported together. */
 
 export interface FindingPlace {
   /** Setting name, or a path such as `classes[0].weight`. */
   path: string;
-  /** 1-based line and column in the source text, where there is one. */
+  /** 1-based line and column in the source text, if there is one. */
   line?: number;
   column?: number;
 }
@@ -14,13 +14,13 @@
   hint?: string;
 }
 
-/** One line a finding: `path:line:column: message (hint)`. */
+/** Formats a finding on one line: `path:line:column: message (hint)`. */
 export function formatFinding(finding: Finding): string {
-  const place = [finding.path, finding.line, finding.column]
+  const location = [finding.path, finding.line, finding.column]
     .filter((part) => part !== undefined)
     .join(':');
   const hint = finding.hint === undefined ? '' : ` (${finding.hint})`;
-  return `${place}: ${finding.message}${hint}`;
+  return `${location}: ${finding.message}${hint}`;
 }
 
 export function formatFindings(findings: readonly Finding[]): string {
--- a/packages/shared/src/hash.ts
+++ b/packages/shared/src/hash.ts
@@ -1,4 +1,4 @@
-/** Non-cryptographic 64-bit hashing (xxHash) and rendezvous ordering. */
+/** Non-cryptographic 64-bit hashing (xxHash) and rendezvous hashing. */
 import xxhash from 'xxhash-wasm';
 
 const hasher = await xxhash();
@@ -7,14 +7,14 @@
   return hasher.h64(text);
 }
 
-/** Fixed-width hexadecimal form, for keys in messages. */
+/** Fixed-width hexadecimal form, used as a key in messages. */
 export function hash64Hex(text: string): string {
   return hash64(text).toString(16).padStart(16, '0');
 }
 
 /**
- * Rendezvous (highest random weight) order of `members` for `key`: removing a member moves only the
- * keys that it held.
+ * Orders `members` for `key` by rendezvous hashing (highest random weight): removing a member reassigns only
+ * the keys that were assigned to it.
  */
 export function rendezvousOrder<Member>(
   key: string,
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -25,6 +25,6 @@
 export { createSeededRandom, fromAnyPlace, type Random } from './random';
 export { createBackgroundLoop, type BackgroundLoop } from './backgroundLoop';
 export { delay, monotonicNowMs } from './clock';
-export { startRunningTimer, type RunningTimer } from './runningTimer';
+export { startRunningTimer, type RunningTimer } from './pauseTolerantTimer';
 export { runOnce } from './runOnce';
 export { ageMsOf, earlierBy, readClocks, type ClockReading } from './clockReading';
--- a/packages/shared/src/random.ts
+++ b/packages/shared/src/random.ts
@@ -1,7 +1,7 @@
-/** Seeded randomness, so that tests and experiments repeat. */
+/** Seeded random numbers, so that tests and experiments are reproducible. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Returns numbers in [0, 1). `Math.random` has this shape. */
+/** Returns numbers in [0, 1), as `Math.random` does. */
 export type Random = () => number;
 
 const uint32Range = 2 ** 32;
@@ -11,7 +11,7 @@
   return () => (generator.next() >>> 0) / uint32Range;
 }
 
-/** The same items in their order, begun at any of them, so that not all who go through them begin with the first. */
+/** Rotates the items by a random offset, so that callers that try them in order do not all start with the first. */
 export function fromAnyPlace<Item>(items: readonly Item[], random: Random): Item[] {
   const first = Math.floor(random() * items.length);
   return [...items.slice(first), ...items.slice(0, first)];
--- a/packages/shared/src/refusal.ts
+++ b/packages/shared/src/refusal.ts
@@ -1,9 +1,9 @@
 /**
- * The central error vocabulary. Every layer returns one of these tagged unions through `neverthrow`;
- * nothing throws across a package boundary.
+ * Error types shared by all packages. Every layer returns these tagged unions through `neverthrow`; nothing
+ * throws across a package boundary.
  */
 
-/** Whether a refused request ran. `true`: proven that it did not; `'unknown'`: it may have. */
+/** Whether a refused request certainly did not run: `true` if that is proven, `'unknown'` if it may have run. */
 export type NotRun = true | false | 'unknown';
 
 /** Reasons for refusing a request. The value appears in metrics, problem documents and decision records. */
@@ -32,32 +32,30 @@
 
 export type RefusalReason = (typeof refusalReasons)[keyof typeof refusalReasons];
 
-/** An honest refusal: what the caller is told instead of an answer. */
+/** A refusal, sent to the caller in place of a response. */
 export interface Refusal {
   kind: 'refusal';
   reason: RefusalReason;
   notRun: NotRun;
   /** Human-readable sentence for the problem document. */
   detail: string;
-  /** When asking again makes sense; becomes `Retry-After`. */
+  /** Time after which a retry is useful; sent as `Retry-After`. */
   retryAfterMs?: number;
 }
 
 export type RefusalOptions = Omit<Refusal, 'kind' | 'notRun'> & { notRun?: NotRun };
 
-/** Builds a refusal; `notRun` defaults to `true`, because most refusals happen before dispatch. */
+/** Creates a refusal. `notRun` defaults to `true`, because most requests are refused before dispatch. */
 export function createRefusal(options: RefusalOptions): Refusal {
   return { kind: 'refusal', notRun: true, ...options };
 }
 
-/** Compile-time check that a switch over a discriminated union is exhaustive. */
+/** Checks at compile time that a switch over a discriminated union is exhaustive. */
 export function assertNever(value: never): never {
   throw new Error(`unhandled variant: ${JSON.stringify(value)}`);
 }
 
-/**
- * Invariant assertion. A violation means a defect of this program, never bad input, so it throws.
- */
+/** Asserts an invariant. Throws, because a violation is a defect of this program, never invalid input. */
 export function invariant(condition: boolean, message: string): asserts condition {
   if (!condition) {
     throw new Error(`invariant violated: ${message}`);
--- a/packages/shared/src/runOnce.ts
+++ b/packages/shared/src/runOnce.ts
@@ -1,4 +1,4 @@
-/** Makes an action that has its effect at the first call only, as releases and cancels must. */
+/** Wraps an action so that only the first call runs it, as releases and cancels require. */
 export function runOnce(action: () => void): () => void {
   let isDone = false;
   return () => {
--- a/packages/shared/src/settings.ts
+++ b/packages/shared/src/settings.ts
@@ -1,21 +1,21 @@
 /**
- * Settings of a binary: each is a flag and a `BLUEBELL_*` environment variable, checked by a schema
- * at the start. All findings are reported together.
+ * Settings of a binary. Each can be given as a flag or a `BLUEBELL_*` environment variable and is validated
+ * by a schema at startup. All findings are reported together.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type * as z from 'zod';
 import type { Finding } from './finding';
 import { formatFindings } from './finding';
 
-/** Exit code for invalid settings or arguments. */
+/** Exit codes of the binaries; `invalidSettings` is for invalid settings or arguments. */
 export const exitCodes = { ok: 0, failure: 1, invalidSettings: 2 } as const;
 
 export interface SettingDefinition<Schema extends z.ZodType = z.ZodType> {
-  /** Parses the flag's or variable's text; use `z.coerce` for numbers. */
+  /** Parses the text of the flag or variable; use `z.coerce` for numbers. */
   schema: Schema;
   /** One sentence for `--help`, with the unit. */
   description: string;
-  /** Text form of the default; absent means required, unless the schema accepts `undefined`. */
+  /** Text of the default value. Without it the setting is required, unless the schema accepts `undefined`. */
   defaultText?: string;
   /** A flag without a value means `true`. */
   isSwitch?: boolean;
@@ -36,7 +36,7 @@
   env?: Readonly<Record<string, string | undefined>>;
 }
 
-/** Reads flags first, then environment variables, then defaults. */
+/** Resolves each setting from its flag, else its environment variable, else its default. */
 export async function resolveSettings<Definitions extends SettingDefinitions>(
   options: LoadSettingsOptions<Definitions>,
 ): Promise<Result<SettingValues<Definitions>, Finding[]>> {
@@ -91,7 +91,7 @@
   return { path: `${flagName(name)} (${environmentName(name)})`, message };
 }
 
-/** A start without flags does not load what reads them: 0.04 s of processor time. */
+/** Loads the flag parser only if there are flags, which saves 0.04 s of processor time at startup. */
 async function parseFlags<Definitions extends SettingDefinitions>(
   options: LoadSettingsOptions<Definitions>,
 ): Promise<Record<string, string | undefined>> {
--- a/packages/telemetry/__tests__/adminServer.test.ts
+++ b/packages/telemetry/__tests__/adminServer.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { createDecisionRing, createEntryMetrics, startAdminServer } from '@bluebellhitch/telemetry';
 
-test('the admin server answers health, metrics, decisions and added routes', async (t) => {
+test('the admin server serves health, metrics, decisions and additional routes', async (t) => {
   const ring = createDecisionRing();
   ring.record({
     requestId: 'request-1',
@@ -40,7 +40,7 @@
   t.deepEqual(await (await get('/debug/config')).json(), { generation: 3 });
 });
 
-test('a taken port is an error of the start', async (t) => {
+test('starting fails if the port is in use', async (t) => {
   const options = {
     host: '127.0.0.1',
     metrics: createEntryMetrics(),
--- a/packages/telemetry/__tests__/decisionRing.test.ts
+++ b/packages/telemetry/__tests__/decisionRing.test.ts
@@ -13,7 +13,7 @@
   };
 }
 
-test('the newest records stay and the oldest go', (t) => {
+test('a full ring drops its oldest records', (t) => {
   const ring = createDecisionRing({ capacity: 3 });
   ['a', 'b', 'c', 'd'].forEach((id) => ring.record(recordOf(id)));
 
@@ -29,7 +29,7 @@
   t.is(ring.find('b')?.requestId, 'b');
 });
 
-test('an id sent twice names the newer record, also after the older one went', (t) => {
+test('an id used twice refers to the newer record, even after the older one was dropped', (t) => {
   const ring = createDecisionRing({ capacity: 2 });
   const newer = recordOf('a');
   ring.record(recordOf('a'));
--- a/packages/telemetry/__tests__/lineWriter.test.ts
+++ b/packages/telemetry/__tests__/lineWriter.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava';
 import { createLineWriter } from '@bluebellhitch/telemetry';
 
-test('lines arrive in order', async (t) => {
+test('lines are written in order', async (t) => {
   const folder = mkdtempSync(join(tmpdir(), 'lines-'));
   t.teardown(() => rmSync(folder, { recursive: true }));
   const path = join(folder, 'log');
@@ -18,9 +18,9 @@
   t.is(writer.droppedCount(), 0);
 });
 
-test('a reader that pauses neither stops the process nor fills its memory', async (t) => {
-  // Every request of the process would wait for whoever reads its log. The pipe is full and nobody reads; the
-  // event loop must go on, and what does not fit must be dropped and counted.
+test('a reader that pauses neither blocks the process nor fills its memory', async (t) => {
+  // Blocking writes would make every request of the process wait for the reader of its log. With a full pipe that
+  // nobody reads, the event loop must continue, and lines that do not fit must be dropped and counted.
   const program = `
     const { createLineWriter } = await import('@bluebellhitch/telemetry');
     const writer = createLineWriter({ maxBufferedBytes: 65536 });
@@ -42,7 +42,7 @@
     ['--import=tsx', '--conditions=bluebell-source', '--input-type=module', '-e', program],
     { stdio: ['ignore', 'pipe', 'pipe'] },
   );
-  // The standard output is never read.
+  // Nobody reads the standard output of the child.
   child.stdout.pause();
   let text = '';
   child.stderr.on('data', (chunk) => {
--- a/packages/telemetry/__tests__/logger.test.ts
+++ b/packages/telemetry/__tests__/logger.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { createLogger, type LogLine } from '@bluebellhitch/telemetry';
 
-test('each message is one JSON line with its origin', (t) => {
+test('each message is one JSON line with the binary and instance id', (t) => {
   const lines: string[] = [];
   const logger = createLogger({
     binary: 'bluebell-entry',
@@ -22,7 +22,7 @@
   });
 });
 
-test('messages below the level are left out and errors show their stack', (t) => {
+test('messages below the level are not logged, and errors are logged with their stack', (t) => {
   const lines: string[] = [];
   const logger = createLogger({
     binary: 'bluebell-agent',
@@ -39,7 +39,7 @@
   t.regex(lines[1] ?? '', /broken link/);
 });
 
-test('two loggers of one process write to their own writers', (t) => {
+test('two loggers in one process each use their own writer', (t) => {
   const first: string[] = [];
   const second: string[] = [];
   const options = { binary: 'bluebell-entry', instanceId: 'entry-1' };
--- a/packages/telemetry/__tests__/metrics.test.ts
+++ b/packages/telemetry/__tests__/metrics.test.ts
@@ -18,10 +18,10 @@
   metrics.setConfigurationGeneration('draft-models', 3);
   const text = await metrics.render();
 
-  const place = 'service="draft-models",institution="halloran-voss",class="clerk"';
-  t.true(text.includes(`bluebell_requests_total{${place},outcome="completed"} 1`));
-  t.true(text.includes(`bluebell_first_token_seconds_sum{${place}} 0.31`));
-  t.true(text.includes(`bluebell_first_token_seconds_bucket{le="0.3",${place}} 0`));
+  const labelText = 'service="draft-models",institution="halloran-voss",class="clerk"';
+  t.true(text.includes(`bluebell_requests_total{${labelText},outcome="completed"} 1`));
+  t.true(text.includes(`bluebell_first_token_seconds_sum{${labelText}} 0.31`));
+  t.true(text.includes(`bluebell_first_token_seconds_bucket{le="0.3",${labelText}} 0`));
   t.true(text.includes('bluebell_wasted_prefill_tokens_total{cause="caller-gone"} 420'));
   t.true(text.includes('bluebell_wasted_prefill_tokens_total{cause="expired"} 0'));
   t.true(text.includes('bluebell_refusals_total{reason="queue-full"} 1'));
@@ -29,9 +29,9 @@
   t.true(text.includes('process_resident_memory_bytes'));
 });
 
-test('label values that no document names become "other"', async (t) => {
-  // A caller that invents a class for each request would otherwise add a series for each: the entry's
-  // memory and every scrape grow until the process is replaced.
+test('label values that no document contains become "other"', async (t) => {
+  // A caller that sends a new class with each request would otherwise add a time series each time, and the
+  // entry's memory and every scrape would grow until the process is restarted.
   const metrics = createEntryMetrics();
   metrics.describeService(service);
   Array.from({ length: 50 }, (_, index) => `made-up-${index}`).forEach((madeUp) => {
@@ -45,7 +45,7 @@
   t.true(text.includes('service="other",institution="other",class="other",outcome="refused"} 50'));
 });
 
-test('a forgotten service leaves the generations', async (t) => {
+test('a removed service is no longer exported in the generations', async (t) => {
   const metrics = createEntryMetrics();
   metrics.describeService(service);
   metrics.setConfigurationGeneration('draft-models', 3);
@@ -54,7 +54,7 @@
   t.false((await metrics.render()).includes('draft-models'));
 });
 
-test('an agent shows every lease state and its own registry', async (t) => {
+test('an agent exports every lease state, and no metrics of entries', async (t) => {
   const metrics = createAgentMetrics();
   metrics.setLeases('decoding', 7);
   const text = await metrics.render();
--- a/packages/telemetry/__tests__/processLifecycle.test.ts
+++ b/packages/telemetry/__tests__/processLifecycle.test.ts
@@ -39,9 +39,9 @@
   t.deepEqual(fake.exitCodes, [0]);
 });
 
-test('a second signal forces a stop that drains too long', async (t) => {
-  // An operator stops a process whose last stream never ends: the graceful stop waits for it, and the
-  // second signal must end the process, once, and tell by its exit code that work was cut off.
+test('a second signal forces the stop while draining', async (t) => {
+  // A graceful stop waits for a last stream that never ends. The second signal must end the process exactly once,
+  // and the exit code must show that work was aborted.
   const fake = createFakeProcess();
   const stops: StopKind[] = [];
   const drained = new EventEmitter();
@@ -65,7 +65,7 @@
   t.deepEqual(fake.exitCodes, [1]);
 });
 
-test('an unhandled error stops at once with exit code 1', async (t) => {
+test('an unhandled error forces the stop with exit code 1', async (t) => {
   const fake = createFakeProcess();
   const stops: StopKind[] = [];
   installProcessLifecycle({
@@ -93,9 +93,9 @@
   t.deepEqual(fake.exitCodes, [1]);
 });
 
-test('the end of the standard input stops the process where the setting asks for it', async (t) => {
-  // The start script is killed by SIGKILL and can stop nothing any more. The kernel ends the pipe it
-  // held, and each child must leave by itself; without it a dozen processes would stay behind.
+test('the end of the standard input stops the process if the setting is enabled', async (t) => {
+  // A start script that is killed by SIGKILL cannot stop its children. The kernel closes its end of their pipes, and
+  // each child must then exit on its own; otherwise a dozen orphaned processes would remain.
   const fake = createFakeProcess({ BLUEBELL_EXIT_ON_STDIN_END: 'true' });
   const stops: StopKind[] = [];
   installProcessLifecycle({
@@ -112,7 +112,7 @@
   t.deepEqual(fake.exitCodes, [0]);
 });
 
-test('without the setting the standard input is left alone', async (t) => {
+test('without the setting the end of the standard input is ignored', async (t) => {
   const fake = createFakeProcess();
   installProcessLifecycle({ process: fake.process, onStop: async () => undefined });
   fake.stdin.end();
--- a/packages/telemetry/src/adminServer.ts
+++ b/packages/telemetry/src/adminServer.ts
@@ -7,15 +7,15 @@
 
 export interface AdminServerOptions {
   host: string;
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   port: number;
   metrics: RenderedMetrics;
   ring: DecisionRing;
-  /** Whether the process takes new work; answers `/readyz`. */
+  /** Whether the process accepts new work; reported by `/readyz`. */
   isReady: () => boolean;
-  /** Whether the process works at all; answers `/livez`. */
+  /** Whether the process works at all; reported by `/livez`. */
   isLive?: () => boolean;
-  /** Further `GET` paths, such as `/debug/config`; each answers with its value as JSON. */
+  /** Additional `GET` paths, such as `/debug/config`; each responds with its value as JSON. */
   routes?: Record<string, () => unknown>;
 }
 
@@ -28,8 +28,8 @@
 const defaultRecentCount = 50;
 
 /**
- * Starts the admin server; rejects where the port is taken. Its libraries load only now, so that a process which
- * serves first does not wait for them: 0.04 s of processor time.
+ * Starts the admin server; rejects if the port is in use. Its libraries are loaded only here, so that a process that
+ * starts serving first does not wait for them (0.04 s of processor time).
  */
 export async function startAdminServer(options: AdminServerOptions): Promise<AdminServer> {
   const app = await createAdminApp(options);
--- a/packages/telemetry/src/decisionRing.ts
+++ b/packages/telemetry/src/decisionRing.ts
@@ -1,7 +1,7 @@
-/** Decision records: what was seen and chosen for each request, kept for the most recent ones. */
+/** Decision records of the most recent requests: the information and the decisions at each step. */
 import { invariant } from '@bluebellhitch/shared';
 
-/** One step on the way of a request, such as bids seen or a retry. */
+/** One step in the processing of a request, such as received bids or a retry. */
 export interface DecisionStep {
   /** Milliseconds since the request arrived. */
   atMs: number;
@@ -24,7 +24,7 @@
 }
 
 export interface DecisionRing {
-  /** Keeps the record; it may still grow afterwards. The oldest one is dropped when the ring is full. */
+  /** Stores the record, which may still be extended afterwards. A full ring drops its oldest record. */
   record(record: DecisionRecord): void;
   find(requestId: string): DecisionRecord | undefined;
   /** Newest first. */
@@ -32,7 +32,7 @@
 }
 
 export interface DecisionRingOptions {
-  /** Number of records kept. */
+  /** Maximum number of records. */
   capacity?: number;
 }
 
@@ -44,8 +44,8 @@
   const byRequestId = new Map<string, DecisionRecord>();
   let nextSlot = 0;
 
-  function forget(record: DecisionRecord | undefined): void {
-    // Callers may send one request id twice; the id then names the newer record.
+  function removeFromIndex(record: DecisionRecord | undefined): void {
+    // Callers may use a request id twice; the id then refers to the newer record.
     if (record !== undefined && byRequestId.get(record.requestId) === record) {
       byRequestId.delete(record.requestId);
     }
@@ -53,7 +53,7 @@
 
   return {
     record(record) {
-      forget(slots[nextSlot]);
+      removeFromIndex(slots[nextSlot]);
       slots[nextSlot] = record;
       byRequestId.set(record.requestId, record);
       nextSlot = (nextSlot + 1) % capacity;
--- a/packages/telemetry/src/lineWriter.ts
+++ b/packages/telemetry/src/lineWriter.ts
@@ -1,7 +1,7 @@
 /**
- * Writes log lines to the standard output without ever waiting for its reader. Node.js writes to pipes
- * synchronously: a reader that pauses would stop the whole process. Lines wait in a bounded buffer; what
- * does not fit is dropped and counted.
+ * Writes log lines to the standard output without blocking on its reader. Node.js writes to pipes
+ * synchronously, so that a reader that pauses would block the whole process. Lines are queued in a bounded
+ * buffer; lines that do not fit are dropped and counted.
  */
 import SonicBoom from 'sonic-boom';
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
@@ -15,17 +15,17 @@
 export interface LineWriter {
   write(line: string): void;
   droppedCount(): number;
-  /** Resolves once the buffer is written, or after `timeoutMs`. */
+  /** Resolves once the buffer has been written, or after `timeoutMs`. */
   flush(timeoutMs: number): Promise<void>;
 }
 
-/** A few thousand lines: some seconds of a busy process. */
+/** A few thousand lines, which is some seconds of output of a busy process. */
 const defaultMaxBufferedBytes = 1_048_576;
-const standardOutput = 1;
-const flushLookMs = 5;
+const stdoutFd = 1;
+const flushPollMs = 5;
 
 export function createLineWriter(options: LineWriterOptions = {}): LineWriter {
-  const { fd = standardOutput, maxBufferedBytes = defaultMaxBufferedBytes } = options;
+  const { fd = stdoutFd, maxBufferedBytes = defaultMaxBufferedBytes } = options;
   const sink = new SonicBoom({ fd, sync: false, maxLength: maxBufferedBytes });
   let droppedCount = 0;
   let queuedBytes = 0;
@@ -37,7 +37,7 @@
     droppedCount += 1;
     queuedBytes -= Buffer.byteLength(line);
   });
-  // A closed pipe must not end the process: it has nobody to tell.
+  // A closed pipe must not end the process. The error has no log to go to and is only counted.
   sink.on('error', () => {
     droppedCount += 1;
   });
@@ -45,7 +45,7 @@
   async function flush(timeoutMs: number): Promise<void> {
     const endsAtMs = monotonicNowMs() + timeoutMs;
     while (writtenBytes < queuedBytes && monotonicNowMs() < endsAtMs) {
-      await delay(flushLookMs);
+      await delay(flushPollMs);
     }
   }
 
--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -1,8 +1,8 @@
-/** Structured logs: one JSON object a line on the standard output, written by roarr. */
+/** Structured logs through roarr: one JSON object per line on the standard output. */
 
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 
-/** Values that belong to one message; they must be serialisable as JSON. */
+/** Values logged with one message; they must be serialisable as JSON. */
 export type LogContext = Record<string, unknown>;
 
 export interface Logger {
@@ -16,13 +16,13 @@
   /** Name of the program, such as `bluebell-entry`. */
   binary: string;
   instanceId: string;
-  /** Messages below this level are left out. */
+  /** Messages below this level are not logged. */
   level?: LogLevel;
-  /** Receives each line without its line end. */
+  /** Receives each line without a trailing newline. */
   write?: (line: string) => void;
 }
 
-/** Shape of one line. */
+/** Fields of one log line. */
 export interface LogLine {
   /** ISO 8601, UTC. */
   time: string;
@@ -42,8 +42,8 @@
 
 const levelRank: Record<LogLevel, number> = { debug: 0, info: 1, warn: 2, error: 3 };
 
-// Roarr reads this variable while it loads and stays silent without it. A static import would load it
-// first, in the bundled binaries in particular.
+// Roarr reads this variable while it loads and logs nothing without it. A static import would load roarr
+// before the assignment, especially in the bundled binaries.
 process.env.ROARR_LOG = 'true';
 const { ROARR, Roarr } = await import('roarr');
 
@@ -56,10 +56,10 @@
       return;
     }
     const context: RoarrContext = { binary, instanceId, level, values: plainValues(values) };
-    // Roarr keeps one writer for the process and calls it before `Roarr` returns.
+    // Roarr has one writer per process and calls it before `Roarr` returns.
     ROARR.write = write;
-    ROARR.serializeMessage = ({ context: held, message: text, time }) =>
-      serializeLine(held as unknown as RoarrContext, text, time);
+    ROARR.serializeMessage = ({ context: rawContext, message: text, time }) =>
+      serializeLine(rawContext as unknown as RoarrContext, text, time);
     Roarr({ ...context } as never, '%s', message);
   }
 
--- a/packages/telemetry/src/metricValues.ts
+++ b/packages/telemetry/src/metricValues.ts
@@ -1,6 +1,6 @@
-/** Values of the labels that the system itself chooses. */
+/** Label values of metrics that the system itself defines. */
 
-/** How a request ended, for `bluebell_requests_total`. */
+/** Outcomes of requests, for `bluebell_requests_total`. */
 export const requestOutcomes = {
   completed: 'completed',
   refused: 'refused',
@@ -9,7 +9,7 @@
 } as const;
 export type RequestOutcome = (typeof requestOutcomes)[keyof typeof requestOutcomes];
 
-/** Measured parts of a request. */
+/** Phases of a request whose duration is measured. */
 export const requestPhases = {
   firstToken: 'firstToken',
   betweenTokens: 'betweenTokens',
@@ -20,7 +20,7 @@
 } as const;
 export type RequestPhase = (typeof requestPhases)[keyof typeof requestPhases];
 
-/** Why a finished prefill was never decoded from. */
+/** Reasons why the result of a finished prefill was never used for decoding. */
 export const wastedPrefillCauses = {
   callerGone: 'caller-gone',
   expired: 'expired',
@@ -44,7 +44,7 @@
 } as const;
 export type LeaseState = (typeof leaseStates)[keyof typeof leaseStates];
 
-/** What became of an at-most-once claim. */
+/** Outcomes of at-most-once claims. */
 export const claimOutcomes = {
   taken: 'taken',
   duplicate: 'duplicate',
@@ -54,7 +54,7 @@
 } as const;
 export type ClaimOutcome = (typeof claimOutcomes)[keyof typeof claimOutcomes];
 
-/** Why a request was tried again. */
+/** Reasons for retrying a request. */
 export const retryCauses = {
   notRun: 'not-run',
   backendFailed: 'backend-failed',
@@ -63,7 +63,7 @@
 } as const;
 export type RetryCause = (typeof retryCauses)[keyof typeof retryCauses];
 
-/** Why a frame of an answer was thrown away. */
+/** Reasons for discarding a frame of a response. */
 export const droppedFrameCauses = {
   otherAttempt: 'other-attempt',
   wrongOffset: 'wrong-offset',
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -1,6 +1,6 @@
 /**
- * Metrics of entries and agents, in the Prometheus format by prom-client. Each set of metrics has its
- * own registry, so that two can live in one test process.
+ * Metrics of entries and agents in the Prometheus format, through prom-client. Each set of metrics has its
+ * own registry, so that several sets can exist in one test process.
  */
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client';
 import type { AgentRefusalReason } from '@bluebellhitch/protocol';
@@ -23,7 +23,7 @@
 } from './metricValues';
 import { createServiceLabels, type LabelledService, type RequestLabels } from './serviceLabels';
 
-/** What the admin server needs of any set of metrics. */
+/** The part of a set of metrics that the admin server needs. */
 export interface RenderedMetrics {
   contentType: string;
   render(): Promise<string>;
@@ -31,7 +31,7 @@
 
 /** Metrics that entries and agents share. */
 export interface CommonMetrics extends RenderedMetrics {
-  /** Makes a document's service, institution and classes known as label values. */
+  /** Adds a document's service, institution and classes to the permitted label values. */
   describeService(service: LabelledService): void;
   forgetService(serviceName: string): void;
   observePhase(phase: RequestPhase, labels: RequestLabels, durationMs: number): void;
@@ -60,10 +60,10 @@
 
 const requestLabelNames = ['service', 'institution', 'class'] as const;
 const msPerSecond = 1000;
-/** At the library's 10 ms the monitor's timer is most of an idle process's own work. */
+/** At the library's default of 10 ms the event loop monitor causes most of an idle process's work. */
 const eventLoopPrecisionMs = 100;
 
-/** Fine around the usual targets: 28 ms between tokens and 620 ms to the first one. */
+/** Finest around the usual targets: 28 ms between tokens and, in `phaseBuckets`, 620 ms to the first token. */
 const tokenGapBuckets = [0.005, 0.01, 0.015, 0.02, 0.025, 0.028, 0.035, 0.05, 0.075, 0.1, 0.25, 1];
 const phaseBuckets = [
   0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.45, 0.62, 0.8, 1.2, 2, 4, 8, 16, 60,
@@ -204,10 +204,10 @@
   const common: CommonMetrics = {
     contentType: registry.contentType,
     render: () => registry.metrics(),
-    describeService: labels.describe,
+    describeService: labels.add,
     forgetService(serviceName) {
       generations.remove({ service: serviceName });
-      labels.forget(serviceName);
+      labels.remove(serviceName);
     },
     observePhase: (phase, request, durationMs) =>
       phases[phase].observe({ ...labels.resolve(request) }, durationMs / msPerSecond),
@@ -235,7 +235,7 @@
   name: string;
   help: string;
   labelName: LabelName;
-  /** Shown as zero from the start, so that rates over the first event are right. */
+  /** Exported as zero from the start, so that rates that include the first event are correct. */
   values: readonly string[];
 }
 
--- a/packages/telemetry/src/processLifecycle.ts
+++ b/packages/telemetry/src/processLifecycle.ts
@@ -1,26 +1,26 @@
-/** The life of a process: signals, unhandled errors and, on request, the end of its standard input. */
+/** Process shutdown on signals, on unhandled errors and, optionally, at the end of the standard input. */
 import type { Readable } from 'node:stream';
 import * as z from 'zod';
 import { delay, exitCodes } from '@bluebellhitch/shared';
 import type { Logger } from './logger';
 
-/** `graceful`: finish the work in progress. `forced`: release what is held and return at once. */
+/** `graceful` finishes the work in progress; `forced` releases all resources and returns at once. */
 export type StopKind = 'graceful' | 'forced';
 
 export interface ProcessLifecycleOptions {
-  /** Called once for each kind at most; the process exits when the promise settles. */
+  /** Called at most once per kind; the process exits when the promise settles. */
   onStop: (kind: StopKind) => Promise<void>;
-  /** Tells why the process stops. */
+  /** Logs why the process stops. */
   logger?: Logger;
   /** Defaults to the environment variable `BLUEBELL_EXIT_ON_STDIN_END`. */
   exitOnStdinEnd?: boolean;
-  /** How long a forced stop may take. */
+  /** Maximum duration of a forced stop. */
   forcedStopMs?: number;
   /** Replaced in tests. */
   process?: LifecycleProcess;
 }
 
-/** The part of Node's `process` that the lifecycle uses. */
+/** The part of the Node.js `process` object that is used here. */
 export interface LifecycleProcess {
   env: Record<string, string | undefined>;
   stdin: Readable;
@@ -28,7 +28,7 @@
   exit(code: number): void;
 }
 
-/** For the settings of a binary, beside its own ones. */
+/** Setting definitions that a binary adds to its own. */
 export const lifecycleSettings = {
   exitOnStdinEnd: {
     schema: z.enum(['true', 'false']).transform((text) => text === 'true'),
@@ -39,8 +39,8 @@
 };
 
 /**
- * Installs the handlers. The first SIGTERM or SIGINT stops gracefully with exit code 0; a second one
- * forces the stop with exit code 1, as does an unhandled error.
+ * Installs the handlers. The first SIGTERM or SIGINT stops the process gracefully with exit code 0; a second one,
+ * or an unhandled error, forces the stop with exit code 1.
  */
 export function installProcessLifecycle(options: ProcessLifecycleOptions): void {
   const { onStop, logger, forcedStopMs = 2_000 } = options;
@@ -90,19 +90,19 @@
 }
 
 /**
- * Calls `onEnd` when the stream ends. A parent that holds the other end of the pipe cannot die, even by
- * SIGKILL, without ending it.
+ * Calls `onEnd` when the stream ends. The death of a parent process that holds the other end of the pipe always
+ * ends it, even after SIGKILL.
  */
 export function exitOnStdinEnd(stdin: Readable, onEnd: () => void): void {
   stdin.once('end', onEnd);
   stdin.once('close', onEnd);
   stdin.once('error', onEnd);
   stdin.resume();
-  // The pipe alone must not keep a process running that has finished its work.
+  // The pipe alone must not keep a process alive that has finished its work.
   (stdin as Partial<{ unref(): void }>).unref?.();
 }
 
-/** Whether the promise rejected; the error is logged. */
+/** Returns whether the promise rejected, and logs the error. */
 async function settlesWithError(promise: Promise<void>, logger?: Logger): Promise<boolean> {
   try {
     await promise;
--- a/packages/telemetry/src/serviceLabels.ts
+++ b/packages/telemetry/src/serviceLabels.ts
@@ -1,23 +1,23 @@
 /**
- * Label values of metrics. Callers choose the class and may send any service name, so each value is
- * checked against the accepted documents; a registry would otherwise grow with what callers send.
+ * Label values of metrics. Callers choose the class and may send any service name, so each value is checked
+ * against the accepted documents; otherwise arbitrary values from callers would grow the registry without limit.
  */
 
-/** Whom a measurement belongs to, as the request told. */
+/** Origin of a measurement, as stated by the request. */
 export interface RequestLabels {
   service: string;
   institution: string;
   className: string;
 }
 
-/** What a service's document allows as label values. */
+/** Label values that a service's document permits. */
 export interface LabelledService {
   service: string;
   institution: string;
   classNames: readonly string[];
 }
 
-/** Labels as they appear in the metrics. */
+/** Labels as exported in the metrics. */
 export interface MetricLabels {
   service: string;
   institution: string;
@@ -25,33 +25,33 @@
 }
 
 export interface ServiceLabels {
-  describe(service: LabelledService): void;
-  forget(serviceName: string): void;
+  add(service: LabelledService): void;
+  remove(serviceName: string): void;
   resolve(labels: RequestLabels): MetricLabels;
   resolveService(serviceName: string): string;
 }
 
-/** Stands for every value that no document names. */
+/** Replaces every value that no document contains. */
 export const otherLabel = 'other';
 
-/** Creates an empty table of known services. */
+/** Creates an empty table of services. */
 export function createServiceLabels(): ServiceLabels {
-  const known = new Map<string, LabelledService>();
+  const services = new Map<string, LabelledService>();
   return {
-    describe(service) {
-      known.set(service.service, service);
+    add(service) {
+      services.set(service.service, service);
     },
-    forget(serviceName) {
-      known.delete(serviceName);
+    remove(serviceName) {
+      services.delete(serviceName);
     },
     resolve(labels) {
-      const service = known.get(labels.service);
+      const service = services.get(labels.service);
       return {
         service: service?.service ?? otherLabel,
         institution: service?.institution === labels.institution ? labels.institution : otherLabel,
         class: service?.classNames.includes(labels.className) ? labels.className : otherLabel,
       };
     },
-    resolveService: (serviceName) => (known.has(serviceName) ? serviceName : otherLabel),
+    resolveService: (serviceName) => (services.has(serviceName) ? serviceName : otherLabel),
   };
 }
