--- a/packages/document/__tests__/diffDocuments.test.ts
+++ b/packages/document/__tests__/diffDocuments.test.ts
@@ -15,7 +15,7 @@
   return parseDocument(JSON.stringify(fields))._unsafeUnwrap().document;
 }
 
-test('names each change by its path, with both values', (t) => {
+test('reports the path and both values of each change', (t) => {
   const after = createDocument({
     dataCentres: ['north', 'east'],
     classes: [{ name: 'one', weight: 3 }, { name: 'three' }],
@@ -37,7 +37,7 @@
   t.deepEqual(changes[0], { path: 'dataCentres[south]', before: 'south' });
 });
 
-test('an order without meaning is no change; the order of classes is one', (t) => {
+test('a change of order is reported for classes, and not for lists whose order has no meaning', (t) => {
   const reordered = createDocument({
     dataCentres: ['south', 'north'],
     routes: [{ pathPrefix: '/b' }, { pathPrefix: '/a' }],
--- a/packages/document/__tests__/effectiveClass.test.ts
+++ b/packages/document/__tests__/effectiveClass.test.ts
@@ -13,11 +13,11 @@
   }),
 )._unsafeUnwrap();
 
-test('an absent or unknown class name means the first class', (t) => {
+test('an absent or unknown class name resolves to the first class', (t) => {
   t.is(effectiveClass(document).name, 'one');
   t.is(effectiveClass(document, 'nine').name, 'one');
 });
 
-test('a slow rate still admits one request', (t) => {
+test('a rate below one request per second still has a burst of one', (t) => {
   t.like(effectiveClass(document, 'two'), { name: 'two', burst: 1 });
 });
--- a/packages/document/__tests__/jsonSchema.test.ts
+++ b/packages/document/__tests__/jsonSchema.test.ts
@@ -19,12 +19,12 @@
   ]);
 }
 
-test('the committed schema is current', (t) => {
+test('the committed schema is up to date', (t) => {
   const file = join(root, 'packages/document/schema/service-document.schema.json');
   t.deepEqual(JSON.parse(readFileSync(file, 'utf8')), documentJsonSchema());
 });
 
-test('the field reference of the page is current', async (t) => {
+test('the field reference of the page is up to date', async (t) => {
   const text = readFileSync(page, 'utf8');
   const options = { ...(await resolveConfig(page)), filepath: page };
   t.is(await format(text, options), await format(replaceFieldTable(text), options));
--- a/packages/document/__tests__/parseDocument.test.ts
+++ b/packages/document/__tests__/parseDocument.test.ts
@@ -32,7 +32,7 @@
   t.true(document.routes[0]?.repeatable);
 });
 
-test('reports every finding at once, in the order of the text and with its place', (t) => {
+test('reports all findings at once, in the order of the text and with their positions', (t) => {
   const findings = findingsOf([
     'apiVersion: bluebellhitch/v1',
     'service: Bad_Name',
@@ -64,13 +64,13 @@
   t.is(findings[6]?.hint, 'write it in quotes');
 });
 
-test('lists the known fields where no name is near', (t) => {
+test('lists the known fields if no name is similar', (t) => {
   const [finding] = findingsOf([...plainLines, 'retry:', '  xylophone: 1']);
   t.is(finding?.path, 'retry.xylophone');
   t.is(finding?.hint, 'known: maxAttempts, budgetRatio, backoffMs');
 });
 
-test('refuses what no single field shows', (t) => {
+test('rejects violations of rules between fields', (t) => {
   t.deepEqual(problemsOf([...plainLines, '  - { pathPrefix: /desk, methods: [GET] }']), [
     'routes[1]: matches the same calls as routes[0]',
   ]);
@@ -90,7 +90,7 @@
   ]);
 });
 
-test('models and adapters share their names with callers, so they all differ', (t) => {
+test('names of models and adapters must be distinct, because callers select both by name', (t) => {
   const model = plainLines.slice(0, 5).map((line) => line.replace('plain', 'model'));
   const models = ['models:', '  - { name: m, adapters: [x] }', '  - { name: n, adapters: [m, x] }'];
   t.deepEqual(problemsOf([...model, ...models]), [
@@ -110,7 +110,7 @@
   t.deepEqual(findingsOf(lines), []);
 });
 
-test('remarks on fields without effect do not refuse the document', (t) => {
+test('warnings about fields without effect do not reject the document', (t) => {
   const text = [...plainLines, 'weights: { goodput: 2 }'].join('\n');
   const { findings } = parseDocument(text)._unsafeUnwrap();
   t.deepEqual(findings, [
@@ -118,21 +118,21 @@
   ]);
 });
 
-test('text that is no YAML, two documents, or no map is one finding with its place', (t) => {
+test('invalid YAML, several documents and a non-map value are reported as findings', (t) => {
   t.like(findingsOf(['service: [a'])[0], { path: 'document', line: 1 });
   t.regex(firstMessage(['a: 1', '---', 'b: 2']), /multiple documents/);
   t.is(findingsOf(['hello'])[0]?.path, 'document');
   t.true(findingsOf(['']).length > 0);
 });
 
-test('a field written twice is reported beside other findings', (t) => {
+test('a duplicate field is reported together with other findings', (t) => {
   const paths = findingsOf([...plainLines, 'kind: plain', 'extra: 1']).map(({ line }) => line);
   t.deepEqual(paths, [8, 9]);
 });
 
-// An alias bomb is a few lines of text that expand to billions of values. The parser's bound on
-// aliases turns it into a finding instead of a process that runs out of memory.
-test('an alias bomb is refused', (t) => {
+// A few lines of nested aliases expand to billions of values. The parser's alias limit must turn them into
+// a finding before the process runs out of memory.
+test('an alias bomb is rejected', (t) => {
   const levels = Array.from({ length: 12 }, (_, level) => {
     const items =
       level === 0
@@ -145,7 +145,7 @@
   t.regex(firstMessage(levels), /alias/);
 });
 
-test('reads JSON, and holds a .json file to JSON', (t) => {
+test('reads JSON, and requires a .json file to be JSON', (t) => {
   const value = {
     apiVersion: 'bluebellhitch/v1',
     service: 'desk',
--- a/packages/document/src/diffDocuments.ts
+++ b/packages/document/src/diffDocuments.ts
@@ -2,9 +2,9 @@
 import type { ServiceDocument } from './documentSchema';
 import { normalizeDocument, routeKey } from './normalizeDocument';
 
-/** `before` is absent where the field is new, `after` where it is gone. */
+/** `before` is absent if the field was added, `after` if it was removed. */
 export interface DocumentChange {
-  /** Items of lists are named by their identity: `classes[counter].weight`. */
+  /** List items are identified by their key instead of their index: `classes[counter].weight`. */
   path: string;
   before?: unknown;
   after?: unknown;
@@ -12,7 +12,7 @@
 
 type Fields = Record<string, unknown>;
 
-/** Lists whose first item has a meaning, so that a change of order counts. */
+/** Lists whose first item is the default, so that a change of order is reported. */
 const orderedLists = new Set(['classes', 'models']);
 
 export function diffDocuments(before: ServiceDocument, after: ServiceDocument): DocumentChange[] {
@@ -49,9 +49,9 @@
 }
 
 function diffOrder(path: string, before: string[], after: string[]): DocumentChange[] {
-  const sameItems = before.length === after.length && before.every((key) => after.includes(key));
-  const moved = before.some((key, index) => key !== after[index]);
-  return orderedLists.has(path) && sameItems && moved
+  const hasSameItems = before.length === after.length && before.every((key) => after.includes(key));
+  const isReordered = before.some((key, index) => key !== after[index]);
+  return orderedLists.has(path) && hasSameItems && isReordered
     ? [createChange(`${path} (order)`, before, after)]
     : [];
 }
--- a/packages/document/src/documentChecks.ts
+++ b/packages/document/src/documentChecks.ts
@@ -1,11 +1,11 @@
-/** Rules between the fields of one document, which the schema of single fields cannot state. */
+/** Rules that involve several fields or items of a document, which the schema cannot express. */
 import type { z } from 'zod';
 import type { Finding } from '@bluebellhitch/shared';
 import { serviceDocumentSchema, type Route, type ServiceDocument } from './documentSchema';
 import { formatPath, type FieldPath } from './fieldPath';
 import type { SourceText } from './sourceText';
 
-/** A broken rule, without its place in the text. */
+/** A violated rule, without its position in the text. */
 interface Problem {
   path: FieldPath;
   message: string;
@@ -21,21 +21,27 @@
 }
 
 const checks: readonly Check[] = [
-  { reads: ['kind', 'models', 'routes'], find: checkKindHasWork },
+  { reads: ['kind', 'models', 'routes'], find: checkKindFields },
   { reads: ['kind', 'rollout'], find: checkPrefillWorkers },
-  { reads: ['dataCentres'], find: ({ dataCentres }) => repeated(['dataCentres'], dataCentres) },
-  { reads: ['classes'], find: ({ classes }) => repeatedNames(['classes'], classes) },
+  {
+    reads: ['dataCentres'],
+    find: ({ dataCentres }) => findDuplicates(['dataCentres'], dataCentres),
+  },
+  { reads: ['classes'], find: ({ classes }) => findDuplicateNames(['classes'], classes) },
   { reads: ['models'], find: checkModelNames },
   { reads: ['routes'], find: checkRouteConflicts },
   { reads: ['classes'], find: checkClassRates },
   { reads: ['targets', 'limits'], find: checkTarget },
   { reads: ['limits', 'drain'], find: checkDrainBound },
-  { reads: ['drain'], find: ({ drain }) => repeated(['drain', 'instances'], drain.instances) },
+  {
+    reads: ['drain'],
+    find: ({ drain }) => findDuplicates(['drain', 'instances'], drain.instances),
+  },
   { reads: ['quarantine'], find: checkQuarantineLists },
 ];
 
 /**
- * All broken rules. A rule is skipped only where a field that it reads is itself malformed, so that
+ * Returns all violations. A rule is skipped only if a field that it reads is itself malformed, so that
  * one mistake does not hide others.
  */
 export function documentFindings(source: SourceText): Finding[] {
@@ -43,11 +49,11 @@
   const problems = checks
     .filter(({ reads }) => reads.every((field) => !malformed.has(field)))
     .flatMap(({ find }) => find(document));
-  return locate(problems, source);
+  return toFindings(problems, source);
 }
 
 interface ReadFields {
-  /** Holds every well-formed field; the others are absent and must not be read. */
+  /** Has only the well-formed fields; the others are absent and must not be read. */
   document: ServiceDocument;
   malformed: ReadonlySet<FieldName>;
 }
@@ -64,27 +70,27 @@
   return { document: document as ServiceDocument, malformed: new Set(malformed) };
 }
 
-/** Remarks that do not refuse the document: fields that its kind never reads. */
-export function documentRemarks(document: ServiceDocument, source: SourceText): Finding[] {
-  const unread: FieldPath[] =
+/** Warnings, which do not reject the document: fields that have no effect on its kind of service. */
+export function documentWarnings(document: ServiceDocument, source: SourceText): Finding[] {
+  const unusedPaths: FieldPath[] =
     document.kind === 'plain'
       ? [['targets'], ['weights'], ['rollout'], ['backendServers'], ['limits', 'maxOutputTokens']]
       : [['limits', 'slotsPerServer']];
-  const problems = unread
+  const problems = unusedPaths
     .filter((path) => source.has(path))
     .map((path) => ({ path, message: `has no effect on a service of kind ${document.kind}` }));
-  return locate(problems, source);
+  return toFindings(problems, source);
 }
 
-function locate(problems: Problem[], source: SourceText): Finding[] {
+function toFindings(problems: Problem[], source: SourceText): Finding[] {
   return problems.map(({ path, ...problem }) => ({
     path: formatPath(path),
-    ...source.placeOf(path),
+    ...source.positionOf(path),
     ...problem,
   }));
 }
 
-function checkKindHasWork(document: ServiceDocument): Problem[] {
+function checkKindFields(document: ServiceDocument): Problem[] {
   return document.kind === 'model' ? checkModelKind(document) : checkPlainKind(document);
 }
 
@@ -120,12 +126,12 @@
   });
 }
 
-/** Callers name a model or an adapter in the same way, so all of these names differ. */
+/** Callers select a model or an adapter by the same field, so all of these names must be distinct. */
 function checkModelNames({ models }: ServiceDocument): Problem[] {
   const named = models.flatMap(({ name, adapters }, index) => [
     { path: ['models', index], name },
-    ...adapters.map((adapter, place) => ({
-      path: ['models', index, 'adapters', place],
+    ...adapters.map((adapter, adapterIndex) => ({
+      path: ['models', index, 'adapters', adapterIndex],
       name: adapter,
     })),
   ]);
@@ -177,7 +183,7 @@
   });
 }
 
-/** A shorter bound would let a planned stop cut off a request that is still within its deadline. */
+/** A shorter bound could let a planned stop abort a request that is still within its deadline. */
 function checkDrainBound({ limits, drain }: ServiceDocument): Problem[] {
   const { requestTimeoutMs } = limits;
   return problemIf(drain.boundMs < requestTimeoutMs, {
@@ -188,28 +194,28 @@
 
 function checkQuarantineLists({ quarantine }: ServiceDocument): Problem[] {
   const { release, block } = quarantine;
-  const both = release.flatMap((fingerprint, index) =>
+  const inBothLists = release.flatMap((fingerprint, index) =>
     problemIf(block.includes(fingerprint), {
       path: ['quarantine', 'release', index],
       message: `${fingerprint} is in quarantine.block as well`,
     }),
   );
   return [
-    ...repeated(['quarantine', 'release'], release),
-    ...repeated(['quarantine', 'block'], block),
-    ...both,
+    ...findDuplicates(['quarantine', 'release'], release),
+    ...findDuplicates(['quarantine', 'block'], block),
+    ...inBothLists,
   ];
 }
 
-function repeatedNames(path: FieldPath, items: readonly { name: string }[]): Problem[] {
-  return repeated(
+function findDuplicateNames(path: FieldPath, items: readonly { name: string }[]): Problem[] {
+  return findDuplicates(
     path,
     items.map(({ name }) => name),
   );
 }
 
-/** One problem for each value that stands earlier in the list as well. */
-function repeated(path: FieldPath, values: readonly string[]): Problem[] {
+/** One problem for each value that already occurs earlier in the list. */
+function findDuplicates(path: FieldPath, values: readonly string[]): Problem[] {
   return values.flatMap((value, index) => {
     const first = values.indexOf(value);
     return problemIf(first !== index, {
@@ -219,6 +225,6 @@
   });
 }
 
-function problemIf(broken: boolean, problem: Problem): Problem[] {
-  return broken ? [problem] : [];
+function problemIf(isBroken: boolean, problem: Problem): Problem[] {
+  return isBroken ? [problem] : [];
 }
--- a/packages/document/src/documentSchema.ts
+++ b/packages/document/src/documentSchema.ts
@@ -1,7 +1,7 @@
 /**
- * The service document: the one thing that operators edit. All durations are milliseconds, all rates
- * are per second. Unknown fields are refused. Bounds keep what a process derives from a document
- * (timers, metric series, maps) small whatever an author writes.
+ * Schema of the service document, in which operators configure a service. All durations are in
+ * milliseconds, all rates per second. Unknown fields are rejected. Upper bounds limit the resources that
+ * a process derives from a document (timers, metric series, maps), whatever its author writes.
  */
 import * as z from 'zod';
 
@@ -16,7 +16,7 @@
   );
 const identifier = z.string().min(1).max(maxIdentifierLength);
 
-/** Latency targets of a request that counts toward goodput. */
+/** Latency targets that a request must meet to count toward goodput. */
 export const targetsSchema = z.strictObject({
   firstTokenMs: z
     .number()
@@ -32,7 +32,7 @@
     .describe('Target of the time between tokens.'),
 });
 
-/** How the service weighs one completed request against prefill work thrown away. */
+/** Relative value of a completed request and cost of wasted prefill work. */
 export const weightsSchema = z.strictObject({
   goodput: z
     .number()
@@ -48,7 +48,7 @@
     .describe('Loss of one unused prefill of average cost, in the unit of `goodput`.'),
 });
 
-/** One class of requests: how urgent they are, their share under contention, and their limits. */
+/** One class of requests: its priority, its share under contention and its limits. */
 export const trafficClassSchema = z.strictObject({
   name: name.describe('Callers choose the class with the `x-class` header.'),
   priority: z
@@ -85,7 +85,7 @@
     .describe('Requests that may wait at one backend server; more are refused as not run.'),
 });
 
-/** A host or path prefix whose plain traffic belongs to the service. */
+/** A host, path prefix and methods whose plain requests are routed to the service. */
 export const routeSchema = z.strictObject({
   host: z
     .string()
@@ -114,7 +114,7 @@
     ),
 });
 
-/** A model that each engine of the service loads. */
+/** A model that every engine of the service loads. */
 export const modelSchema = z.strictObject({
   name: identifier.describe('Name of the model in the weight store.'),
   version: identifier
@@ -266,7 +266,7 @@
   .prefault({})
   .describe('What the backend servers can do.');
 
-/** The whole document. Rules between fields stand in `documentChecks.ts`. */
+/** The whole document. `documentChecks.ts` has the rules that involve several fields. */
 export const serviceDocumentSchema = z.strictObject({
   apiVersion: z.literal('bluebellhitch/v1').describe('Version of this format.'),
   service: name.describe('Unique in the fleet; callers of a model send it as `model`.'),
@@ -307,10 +307,10 @@
 export type TrafficClass = z.infer<typeof trafficClassSchema>;
 export type Route = z.infer<typeof routeSchema>;
 
-/** What the acceptor writes: the value of an `accepted` object and of an `accepted` feed record. */
+/** Value of an `accepted` object and of an `accepted` feed record, as written by the acceptor. */
 export const acceptedDocumentSchema = z.object({
   generation: z.number().int().positive(),
-  /** Version of the `document` object that this generation was made from. */
+  /** Version of the `document` object from which this generation was made. */
   documentVersion: z.number().int().nonnegative(),
   acceptedAt: z.string(),
   document: serviceDocumentSchema,
--- a/packages/document/src/effectiveClass.ts
+++ b/packages/document/src/effectiveClass.ts
@@ -1,10 +1,10 @@
-/** Which class a request belongs to. */
+/** Resolves the traffic class of a request. */
 import { invariant } from '@bluebellhitch/shared';
 import type { ServiceDocument, TrafficClass } from './documentSchema';
 
 /**
- * The class of that name, or the document's first where the caller names none or one that the
- * document lacks. A class with a rate has its `burst` filled in: one second of the rate, at least 1.
+ * Returns the class of that name, or the document's first class if the caller names none or an unknown
+ * one. In a class with a rate, a missing `burst` is filled in with one second of the rate, at least 1.
  */
 export function effectiveClass(document: ServiceDocument, className?: string): TrafficClass {
   const [first] = document.classes;
--- a/packages/document/src/fieldPath.ts
+++ b/packages/document/src/fieldPath.ts
@@ -1,4 +1,4 @@
-/** Paths into a document and their text form. */
+/** Paths of fields in a document, and their text form. */
 
 export type FieldPath = readonly (string | number)[];
 
@@ -7,7 +7,7 @@
   return path.length === 0 ? wholeDocumentPath : joinPath(path);
 }
 
-/** Path of findings that concern no single field, such as a syntax error. */
+/** Path of findings that do not concern a single field, such as a syntax error. */
 export const wholeDocumentPath = 'document';
 
 function joinPath(path: FieldPath): string {
--- a/packages/document/src/jsonSchema.ts
+++ b/packages/document/src/jsonSchema.ts
@@ -1,9 +1,9 @@
-/** JSON Schema of the service document, made from the zod schema; editors complete and check with it. */
+/** JSON Schema of the service document, generated from the zod schema for completion and validation in editors. */
 import * as z from 'zod';
 import { serviceDocumentSchema } from './documentSchema';
 import type { FieldPath } from './fieldPath';
 
-/** The part of JSON Schema that the service document uses. */
+/** Subset of JSON Schema that the service document uses. */
 export interface JsonSchemaNode {
   type?: string;
   const?: unknown;
@@ -24,7 +24,7 @@
   maxItems?: number;
 }
 
-/** The schema of what authors write: fields with a default are optional. */
+/** Schema of a document as its author writes it: fields with a default are optional. */
 export function documentJsonSchema(): JsonSchemaNode {
   const schema = z.toJSONSchema(serviceDocumentSchema, { io: 'input' });
   return { title: 'bluebellhitch service document', ...schema } as JsonSchemaNode;
--- a/packages/document/src/nearestName.ts
+++ b/packages/document/src/nearestName.ts
@@ -1,6 +1,6 @@
 /** Suggestions for misspelt names. */
 
-/** The known name nearest to `unknown`, unless all of them are far from it. */
+/** Returns the known name closest to `unknown`, or `undefined` if none is close. */
 export function nearestName(unknown: string, known: readonly string[]): string | undefined {
   const limit = Math.max(2, Math.floor(unknown.length / 3));
   const [nearest] = known
--- a/packages/document/src/normalizeDocument.ts
+++ b/packages/document/src/normalizeDocument.ts
@@ -1,9 +1,9 @@
-/** One form for documents that mean the same, so that a mere change of order is no change. */
+/** Canonical form of documents, in which a change of order without meaning makes no difference. */
 import type { Route, ServiceDocument } from './documentSchema';
 
 /**
- * Sorts lists whose order means nothing. Classes and models keep theirs, because their first is the
- * default; routes keep theirs, so that findings can name them by the index that their author sees.
+ * Sorts lists whose order has no meaning. Classes and models keep their order, because the first is the
+ * default; routes keep theirs, so that findings can refer to them by the index that their author sees.
  */
 export function normalizeDocument(document: ServiceDocument): ServiceDocument {
   const { drain, quarantine } = document;
@@ -21,7 +21,7 @@
   };
 }
 
-/** Identifies a route within a document: `*` or its host, its path prefix and its methods. */
+/** Key of a route within a document: its methods, host and path prefix, with `*` for absent ones. */
 export function routeKey({ host, pathPrefix, methods }: Route): string {
   return `${methods?.join('|') ?? '*'} ${host ?? '*'}${pathPrefix}`;
 }
--- a/packages/document/src/parseDocument.ts
+++ b/packages/document/src/parseDocument.ts
@@ -1,16 +1,16 @@
-/** Reads a service document and reports every finding at once. */
+/** Parses a service document and reports all findings at once. */
 import { err, ok, type Result } from 'neverthrow';
 import type { Finding } from '@bluebellhitch/shared';
-import { documentFindings, documentRemarks } from './documentChecks';
+import { documentFindings, documentWarnings } from './documentChecks';
 import { serviceDocumentSchema, type ServiceDocument } from './documentSchema';
 import { normalizeDocument } from './normalizeDocument';
 import { schemaFindings } from './schemaFindings';
 import { readSourceText, type SourceText } from './sourceText';
 
 export interface ParseDocumentOptions {
-  /** A `.json` name asks for strict JSON. */
+  /** A name that ends in `.json` requires strict JSON. */
   fileName?: string;
-  /** Overrides what the file's name says. */
+  /** Overrides the format derived from the file name. */
   format?: DocumentFormat;
 }
 
@@ -19,7 +19,7 @@
 export interface ParsedDocument {
   /** Normalised, with all defaults filled in. */
   document: ServiceDocument;
-  /** Remarks that do not refuse the document. */
+  /** Warnings, which do not reject the document. */
   findings: Finding[];
 }
 
@@ -27,10 +27,10 @@
   text: string,
   { fileName = 'document', format = formatOf(fileName) }: ParseDocumentOptions = {},
 ): Result<ParsedDocument, Finding[]> {
-  return readSourceText(text, format).andThen(checkSource).mapErr(inOrder);
+  return readSourceText(text, format).andThen(checkSource).mapErr(sortByPosition);
 }
 
-/** Format by the extension of a file's name. */
+/** Format according to the file name's extension. */
 export function formatOf(fileName: string): DocumentFormat {
   return fileName.toLowerCase().endsWith('.json') ? 'json' : 'yaml';
 }
@@ -45,12 +45,12 @@
   return parsed.success && findings.length === 0
     ? ok({
         document: normalizeDocument(parsed.data),
-        findings: documentRemarks(parsed.data, source),
+        findings: documentWarnings(parsed.data, source),
       })
     : err(findings);
 }
 
-function inOrder(findings: readonly Finding[]): Finding[] {
+function sortByPosition(findings: readonly Finding[]): Finding[] {
   return [...findings].sort(
     (left, right) =>
       (left.line ?? 0) - (right.line ?? 0) || (left.column ?? 0) - (right.column ?? 0),
--- a/packages/document/src/schemaFindings.ts
+++ b/packages/document/src/schemaFindings.ts
@@ -1,4 +1,4 @@
-/** Turns the schema's issues into findings with a place and, where one is near, a suggestion. */
+/** Converts the schema's issues into findings with a position and, where possible, a hint. */
 import type { z } from 'zod';
 import type { Finding } from '@bluebellhitch/shared';
 import { formatPath, type FieldPath } from './fieldPath';
@@ -17,21 +17,21 @@
   }
   if (!source.has(path)) {
     return [
-      { path: formatPath(path), ...source.placeOf(path), message: 'required field is missing' },
+      { path: formatPath(path), ...source.positionOf(path), message: 'required field is missing' },
     ];
   }
   const hint = hintOf(issue);
   return [
     {
       path: formatPath(path),
-      ...source.placeOf(path),
+      ...source.positionOf(path),
       message: issue.message.replace(/^Invalid (input|option): /, ''),
       ...(hint === undefined ? {} : { hint }),
     },
   ];
 }
 
-/** YAML reads `version: 1` as a number, which surprises most authors once. */
+/** YAML parses `version: 1` as a number, although its author usually means a string. */
 function hintOf(issue: z.core.$ZodIssue): string | undefined {
   const needsQuotes = issue.code === 'invalid_type' && issue.expected === 'string';
   return needsQuotes ? 'write it in quotes' : undefined;
@@ -42,7 +42,7 @@
   const nearest = nearestName(key, known);
   return {
     path: formatPath([...path, key]),
-    ...source.placeOfKey(path, key),
+    ...source.positionOfKey(path, key),
     message: 'unknown field',
     hint: nearest === undefined ? `known: ${known.join(', ')}` : `did you mean ${nearest}?`,
   };
--- a/packages/document/src/sourceText.ts
+++ b/packages/document/src/sourceText.ts
@@ -1,4 +1,4 @@
-/** Reads the YAML or JSON text of a document and remembers where each value stands. */
+/** Parses the YAML or JSON text of a document and keeps the position of each value. */
 import { err, ok, type Result } from 'neverthrow';
 import {
   isMap,
@@ -12,24 +12,24 @@
 import type { Finding } from '@bluebellhitch/shared';
 import { wholeDocumentPath, type FieldPath } from './fieldPath';
 
-/** 1-based place in the text. */
-export interface SourcePlace {
+/** Position in the text; line and column are 1-based. */
+export interface SourcePosition {
   line: number;
   column: number;
 }
 
 export interface SourceText {
   value: unknown;
-  /** Place of the value at `path`, or of the nearest value around it. */
-  placeOf(path: FieldPath): SourcePlace | undefined;
-  /** Place of the field `key` itself within the value at `path`. */
-  placeOfKey(path: FieldPath, key: string): SourcePlace | undefined;
+  /** Position of the value at `path`, or of the nearest enclosing value that exists. */
+  positionOf(path: FieldPath): SourcePosition | undefined;
+  /** Position of the key `key` itself in the value at `path`. */
+  positionOfKey(path: FieldPath, key: string): SourcePosition | undefined;
   has(path: FieldPath): boolean;
-  /** Findings that do not hide others, such as a field written twice. */
+  /** Findings after which the document can still be checked, such as a duplicate field. */
   findings: Finding[];
 }
 
-/** Document texts above this size are refused, so that a document fits into one platform object. */
+/** Larger document texts are rejected, so that a document fits into one platform object. */
 export const maxDocumentBytes = 256 * 1024;
 
 export function readSourceText(
@@ -71,21 +71,21 @@
     const node = path.length === 0 ? document.contents : document.getIn(path, true);
     return isNode(node) ? node : undefined;
   };
-  const placeOf = (path: FieldPath): SourcePlace | undefined => {
-    const place = placeOfNode(nodeAt(path), lineCounter);
-    return place ?? (path.length === 0 ? undefined : placeOf(path.slice(0, -1)));
+  const positionOf = (path: FieldPath): SourcePosition | undefined => {
+    const position = positionOfNode(nodeAt(path), lineCounter);
+    return position ?? (path.length === 0 ? undefined : positionOf(path.slice(0, -1)));
   };
-  const placeOfKey = (path: FieldPath, key: string) => {
+  const positionOfKey = (path: FieldPath, key: string) => {
     const node = nodeAt(path);
     const pair = isMap(node)
       ? node.items.find((item) => isScalar(item.key) && item.key.value === key)
       : undefined;
-    return isNode(pair?.key) ? placeOfNode(pair.key, lineCounter) : placeOf(path);
+    return isNode(pair?.key) ? positionOfNode(pair.key, lineCounter) : positionOf(path);
   };
   return {
     value,
-    placeOf,
-    placeOfKey,
+    positionOf,
+    positionOfKey,
     has: (path) => valueAt(value, path) !== undefined,
     findings,
   };
@@ -101,7 +101,10 @@
   );
 }
 
-function placeOfNode(node: Node | undefined, lineCounter: LineCounter): SourcePlace | undefined {
+function positionOfNode(
+  node: Node | undefined,
+  lineCounter: LineCounter,
+): SourcePosition | undefined {
   if (!node?.range) {
     return undefined;
   }
@@ -116,7 +119,7 @@
   });
 }
 
-/** YAML is a superset of JSON: a file that calls itself JSON is held to the smaller language. */
+/** The YAML parser accepts more than JSON, so a document declared as JSON must also parse as JSON. */
 function checkJson(
   text: string,
   format: 'yaml' | 'json',
@@ -136,7 +139,7 @@
   }
 }
 
-/** Aliases that would expand a small text into a huge value are an error of the parser. */
+/** Reports an error if aliases would expand a small text into a huge value. */
 function toValue(document: Document): Result<unknown, Finding[]> {
   try {
     return ok(document.toJS({ maxAliasCount: 100 }));
--- a/packages/engine/__tests__/httpEngineClient.test.ts
+++ b/packages/engine/__tests__/httpEngineClient.test.ts
@@ -17,7 +17,7 @@
   priority: 5,
 };
 
-async function clientOf(
+async function startClient(
   t: ExecutionContext,
   listener: RequestListener,
   options: Partial<HttpEngineClientOptions> = {},
@@ -42,7 +42,7 @@
   return `http://127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-function token(offset: number): string {
+function tokenEvent(offset: number): string {
   const chunk = { kind: 'token', attemptId: 'attempt-1', offset, text: `w${offset}` };
   return `data: ${JSON.stringify(chunk)}\n\n`;
 }
@@ -56,8 +56,8 @@
 }
 
 test('a refused connection means that nothing started', async (t) => {
-  // The engine is not running. Its port refuses the connection before any request is sent, so the
-  // agent may tell its caller "not run" with certainty.
+  // The engine is not running and its port refuses the connection before any request is sent, so the
+  // agent may report with certainty that the request did not run.
   const server = createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
   const address = addressOf(server);
@@ -70,25 +70,25 @@
 });
 
 test('a connection that breaks after the request was sent means died', async (t) => {
-  // The engine reads the request and dies before it answers. The work may have begun, so the client
-  // must not claim that nothing started.
-  const client = await clientOf(t, (request) => request.socket.destroy());
+  // The engine reads the request and dies before it responds. The work may have started, so the error
+  // must not be `not-started`.
+  const client = await startClient(t, (request) => request.socket.destroy());
   t.is((await client.decode(decodeInput))._unsafeUnwrapErr().kind, 'died');
   t.is((await client.cancel('attempt-1'))._unsafeUnwrapErr().kind, 'died');
 });
 
-test('a silent engine runs into the timeout', async (t) => {
-  // The engine takes the request and never answers. The caller's own deadline would pass, and the
-  // engine may have started, so the result is a timeout rather than a refusal.
-  const limits = { callTimeoutMs: 50, streamStartTimeoutMs: 50 };
-  const client = await clientOf(t, () => undefined, limits);
+test('a call to an unresponsive engine times out', async (t) => {
+  // The engine accepts the request and never responds. It may have started the work, so the error must
+  // be `timeout` rather than `not-started`.
+  const timeouts = { callTimeoutMs: 50, streamStartTimeoutMs: 50 };
+  const client = await startClient(t, () => undefined, timeouts);
   t.is((await client.decode(decodeInput))._unsafeUnwrapErr().kind, 'timeout');
   t.is((await client.streams())._unsafeUnwrapErr().kind, 'timeout');
 });
 
-test("the engine's own error arrives as it is", async (t) => {
+test("the engine's own error is returned unchanged", async (t) => {
   const error = { kind: 'stale-order', highestFencingNumber: 7 } as const;
-  const client = await clientOf(t, (_, response) => {
+  const client = await startClient(t, (_, response) => {
     response.writeHead(409, { 'content-type': 'application/json' });
     response.end(JSON.stringify({ error }));
   });
@@ -96,17 +96,19 @@
   t.deepEqual(result._unsafeUnwrapErr(), error);
 });
 
-test('an answer that is not in the wire format fails', async (t) => {
-  const client = await clientOf(t, (_, response) => response.end('{"holdings":[{"attemptId":3}]}'));
+test('a response that does not match the wire format fails', async (t) => {
+  const client = await startClient(t, (_, response) =>
+    response.end('{"holdings":[{"attemptId":3}]}'),
+  );
   t.is((await client.streams())._unsafeUnwrapErr().kind, 'failed');
 });
 
-test('a stream that breaks off just ends, without an end chunk', async (t) => {
-  // The engine dies in the middle of a stream. The iteration ends like any other, so that the reader
-  // sees what did arrive; the missing end chunk tells it that the answer is not whole.
-  const client = await clientOf(t, (_, response) => {
+test('a stream whose connection breaks ends without an end chunk', async (t) => {
+  // The engine dies in the middle of a stream. The iteration must end without an error, so that the
+  // reader gets the chunks that arrived; the missing end chunk marks the response as incomplete.
+  const client = await startClient(t, (_, response) => {
     response.writeHead(200, { 'content-type': 'text/event-stream' });
-    response.write(token(0) + token(1), () => response.destroy());
+    response.write(tokenEvent(0) + tokenEvent(1), () => response.destroy());
   });
   const chunks = await collect((await client.decode(decodeInput))._unsafeUnwrap());
   t.deepEqual(
@@ -118,10 +120,10 @@
   );
 });
 
-test('events are read whole however the bytes are cut', async (t) => {
-  const text = token(0).replace('w0', 'Säule €');
+test('events are read correctly however the bytes are split into chunks', async (t) => {
+  const text = tokenEvent(0).replace('w0', 'Säule €');
   const bytes = Buffer.from(text);
-  const client = await clientOf(t, async (_, response) => {
+  const client = await startClient(t, async (_, response) => {
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     for (const byte of bytes) {
       response.write(Buffer.from([byte]));
@@ -134,13 +136,13 @@
 });
 
 test('aborting the signal closes the connection and ends the iteration', async (t) => {
-  // The caller has gone. The agent aborts the stream, and the engine sees its connection close rather
-  // than writing into a buffer that nobody reads.
+  // When a caller disconnects, the agent aborts the stream. The engine must see its connection close, or
+  // it would go on writing into a buffer that nobody reads.
   let closed: Promise<unknown> = Promise.resolve();
-  const client = await clientOf(t, (_, response) => {
+  const client = await startClient(t, (_, response) => {
     closed = once(response, 'close');
     response.writeHead(200, { 'content-type': 'text/event-stream' });
-    response.write(token(0));
+    response.write(tokenEvent(0));
   });
   const controller = new AbortController();
   const chunks = (await client.decode(decodeInput, controller.signal))._unsafeUnwrap();
@@ -151,10 +153,10 @@
   await closed;
 });
 
-test('an abort by the caller is not reported as a death of the engine', async (t) => {
-  // An agent counts deaths of its engine against the requests in flight. Its own abort breaks the
-  // connection too; reported as a death, it would put a harmless request into quarantine.
-  const client = await clientOf(t, () => undefined);
+test('an abort by the caller is not reported as a crash of the engine', async (t) => {
+  // An agent attributes crashes of its engine to the requests in flight. Its own abort also breaks the
+  // connection; reported as `died`, it would put a harmless request into quarantine.
+  const client = await startClient(t, () => undefined);
   const controller = new AbortController();
   const pending = client.prefill(
     { attemptId: 'a', model: 'm', prompt: 'p', priority: 5 },
@@ -164,11 +166,11 @@
   t.is((await pending)._unsafeUnwrapErr().kind, 'failed');
 });
 
-test('an import that ends without its last event died', async (t) => {
-  // The importing engine dies in the middle of a transfer. Progress so far was reported, but the KV
-  // cache is not there, so the import must not pass for a finished one.
+test('an import that ends without its last event fails with died', async (t) => {
+  // The importing engine dies in the middle of a transfer. Progress was reported, but the KV cache is
+  // incomplete, so the import must not count as finished.
   const progress = { kind: 'progress', receivedBytes: 1, totalBytes: 2, done: false };
-  const client = await clientOf(t, (_, response) => {
+  const client = await startClient(t, (_, response) => {
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     response.write(`data: ${JSON.stringify(progress)}\n\n`, () => response.destroy());
   });
--- a/packages/engine/src/engineApi.ts
+++ b/packages/engine/src/engineApi.ts
@@ -1,15 +1,15 @@
 /**
- * A model engine as its agent sees it. One implementation talks HTTP to the engine; another engine's
- * wire format is a change of that one file.
+ * Interface of a model engine, as its agent uses it. `httpEngineClient.ts` implements it over HTTP; an
+ * engine with another wire format needs another implementation.
  */
 import type { ResultAsync } from 'neverthrow';
 import type { EngineOrder, FinishReason, WorkerRole } from '@bluebellhitch/protocol';
 
 export type EngineError =
-  /** Certainly not started: connection refused, or the engine's own refusal. */
+  /** The work certainly did not start: the connection or the engine refused it. */
   | { kind: 'not-started'; detail: string }
   | { kind: 'out-of-memory'; detail: string }
-  /** The named export, import or stream does not exist (any more). */
+  /** The named export, import or stream does not exist or no longer exists. */
   | { kind: 'gone'; detail: string }
   /** The engine process died or the connection broke after the call was sent. */
   | { kind: 'died'; detail: string }
@@ -37,11 +37,11 @@
   /** `http://ip:port` of the engine that holds the export. */
   kvAddress: string;
   exportId: string;
-  /** Pacing of this transfer. */
+  /** Rate limit of this transfer. */
   rateBytesPerSecond: number;
 }
 
-/** Progress of a running import; the last one has `done`. */
+/** Progress of a running import; `done` is set in the last report. */
 export interface ImportProgress {
   receivedBytes: number;
   totalBytes: number;
@@ -52,9 +52,9 @@
   attemptId: string;
   model: string;
   prompt: string;
-  /** Decode from KV cache imported under this attempt id; otherwise the engine prefills itself. */
+  /** Decode from KV cache that was imported under this attempt id; otherwise the engine runs the prefill. */
   imported: boolean;
-  /** Of the tokens to come: those that `ResumeInput.emitted` holds are not counted. */
+  /** Maximum number of further tokens; those in `ResumeInput.emitted` are not counted. */
   maxOutputTokens: number;
   priority: number;
 }
@@ -63,26 +63,26 @@
   emitted: { tokenCount: number; text: string };
 }
 
-/** What a decode stream yields. `attemptId` echoes the input. */
+/** Item of a decode stream. `attemptId` is that of the input. */
 export type EngineChunk =
   | { kind: 'token'; attemptId: string; offset: number; text: string }
   | { kind: 'end'; attemptId: string; offset: number; finishReason: FinishReason };
 
-/** Anything that holds memory inside the engine. */
+/** Prefill, export, import or decode that occupies KV cache memory in the engine. */
 export interface EngineHolding {
   attemptId: string;
   phase: 'prefill' | 'export' | 'import' | 'decode';
   heldKvBytes: number;
 }
 
-/** Lags behind the truth by `ageMs`. */
+/** Load of the engine as it was `ageMs` ago. */
 export interface EngineLoad {
   role: WorkerRole;
   capacityKvBytes: number;
   kvBytesPerToken: number;
   heldKvBytes: number;
   runningCount: number;
-  /** Upper bound of requests in the running batch. */
+  /** Maximum number of requests in the running batch. */
   slotCount: number;
   stepMs: number;
   ageMs: number;
@@ -97,15 +97,15 @@
 
 export interface EngineApi {
   prefill(input: PrefillInput, signal?: AbortSignal): ResultAsync<PrefillResult, EngineError>;
-  /** Drops the exported KV cache; idempotent. */
+  /** `drop` frees the exported KV cache and is idempotent; `keep` fails with `gone` if it no longer exists. */
   exportKv(exportId: string, action: 'keep' | 'drop'): ResultAsync<void, EngineError>;
-  /** Pulls KV cache from another engine; `onProgress` is called as it goes. */
+  /** Fetches KV cache from another engine; `onProgress` is called during the transfer. */
   importKv(
     input: ImportInput,
     onProgress: (progress: ImportProgress) => void,
     signal?: AbortSignal,
   ): ResultAsync<ImportProgress, EngineError>;
-  /** Iteration ends early, without an `end` chunk, where the engine died. */
+  /** If the engine dies, iteration ends early, without an `end` chunk. */
   decode(
     input: DecodeInput,
     signal?: AbortSignal,
@@ -114,11 +114,12 @@
     input: ResumeInput,
     signal?: AbortSignal,
   ): ResultAsync<AsyncIterable<EngineChunk>, EngineError>;
-  /** Frees all that the attempt holds; idempotent. */
+  /** Frees all memory that the attempt holds; idempotent. */
   cancel(attemptId: string): ResultAsync<void, EngineError>;
+  /** Lists the memory holdings of all attempts, in any phase. */
   streams(): ResultAsync<EngineHolding[], EngineError>;
   load(): ResultAsync<EngineLoad, EngineError>;
-  /** Late and with gaps: a jump of `sequence` means lost events. */
+  /** Events arrive late and may be lost: a gap in `sequence` means lost events. */
   cacheEvents(sinceSequence: number): ResultAsync<CacheEvent[], EngineError>;
   order(order: EngineOrder, fencingNumber: number): ResultAsync<void, EngineError>;
 }
--- a/packages/engine/src/engineWire.ts
+++ b/packages/engine/src/engineWire.ts
@@ -1,4 +1,4 @@
-/** The engine's wire format: paths, bodies and events. Byte counts are bytes, durations milliseconds. */
+/** Wire format of the engine: paths, bodies and events. Sizes are in bytes, durations in milliseconds. */
 import * as z from 'zod';
 import { engineOrderSchema, finishReasonSchema, workerRoleSchema } from '@bluebellhitch/protocol';
 
@@ -14,14 +14,14 @@
   load: '/load',
   cacheEvents: '/cache-events',
   orders: '/orders',
-  /** Engine to engine: KV cache of an export. */
+  /** KV cache of an export, fetched by another engine. */
   kv: '/kv',
 } as const;
 
 const byteCount = z.number().nonnegative();
 const count = z.number().int().nonnegative();
 
-/** What an engine answers instead of a result; the error kinds are those of `EngineError`. */
+/** Error returned by an engine; the kinds are those of `EngineError`. */
 export const engineErrorSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('not-started'), detail: z.string() }),
   z.object({ kind: z.literal('out-of-memory'), detail: z.string() }),
@@ -68,7 +68,7 @@
   rateBytesPerSecond: z.number().positive(),
 });
 
-/** Events of an import's answer; it ends with `done` or with `error`. */
+/** Events of an import's response; the last one has `done` set or is an `error`. */
 export const importEventSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('progress'),
@@ -144,7 +144,7 @@
   fencingNumber: z.number().int().positive(),
 });
 
-/** Events of a KV transfer between engines: `open` first, then the bytes as they are sent. */
+/** Events of a KV transfer between engines: first `open`, then `bytes` for each piece sent. */
 export const kvEventSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('open'), totalBytes: byteCount, promptTokens: count }),
   z.object({ kind: z.literal('bytes'), bytes: byteCount }),
--- a/packages/engine/src/eventStream.ts
+++ b/packages/engine/src/eventStream.ts
@@ -1,16 +1,16 @@
-/** Reads an event stream (`text/event-stream`) whose events carry one JSON value each. */
+/** Reads an event stream (`text/event-stream`) in which each event carries one JSON value. */
 import { createParser } from 'eventsource-parser';
 import type { z } from 'zod';
 
 /**
- * Yields each event's value. Ends where the body ends, breaks off or carries a value that the schema
- * refuses; the reader tells a whole stream by its own end marker.
+ * Yields the value of each event. Ends when the body ends, its connection breaks or a value does not
+ * match the schema; callers recognise a complete stream by the protocol's end marker.
  */
 export async function* readEventStream<Schema extends z.ZodType>(
   body: AsyncIterable<Uint8Array>,
   schema: Schema,
 ): AsyncGenerator<z.infer<Schema>, void, undefined> {
-  for await (const text of eventTexts(body)) {
+  for await (const text of readEventData(body)) {
     const parsed = schema.safeParse(parseJson(text));
     if (!parsed.success) {
       return;
@@ -19,7 +19,7 @@
   }
 }
 
-async function* eventTexts(
+async function* readEventData(
   body: AsyncIterable<Uint8Array>,
 ): AsyncGenerator<string, void, undefined> {
   const texts: string[] = [];
@@ -28,7 +28,7 @@
   const iterator = body[Symbol.asyncIterator]();
   try {
     for (;;) {
-      const bytes = await nextOrEnd(iterator);
+      const bytes = await readNext(iterator);
       if (bytes === undefined) {
         return;
       }
@@ -40,7 +40,7 @@
   }
 }
 
-async function nextOrEnd(iterator: AsyncIterator<Uint8Array>): Promise<Uint8Array | undefined> {
+async function readNext(iterator: AsyncIterator<Uint8Array>): Promise<Uint8Array | undefined> {
   try {
     const next = await iterator.next();
     return next.done === true ? undefined : next.value;
--- a/packages/engine/src/httpEngineClient.ts
+++ b/packages/engine/src/httpEngineClient.ts
@@ -1,6 +1,6 @@
 /**
- * The engine client over HTTP. Adapting to an engine with another wire format means replacing this
- * file and `engineWire.ts`.
+ * HTTP client of an engine. To support an engine with another wire format, replace this file and
+ * `engineWire.ts`.
  */
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import { Pool, type Dispatcher } from 'undici';
@@ -32,18 +32,18 @@
   /** `http://ip:port` of the engine. */
   address: string;
   connectTimeoutMs?: number;
-  /** Bound of short calls: cancel, holdings, load, cache events, exports. */
+  /** Timeout of short calls: cancel, holdings, load, cache events, exports. */
   callTimeoutMs?: number;
   prefillTimeoutMs?: number;
-  /** Bound until a stream's answer begins. */
+  /** Timeout until the response headers of a stream arrive. */
   streamStartTimeoutMs?: number;
-  /** A stream that is silent for longer ends. */
+  /** A stream that sends no data for longer is ended. */
   streamIdleTimeoutMs?: number;
   /** Loading a model reads its weights, which takes minutes. */
   orderTimeoutMs?: number;
 }
 
-/** An engine client whose connections its owner closes. */
+/** An engine client that must be closed to release its connections. */
 export interface HttpEngineClient extends EngineApi {
   close(): Promise<void>;
 }
@@ -67,11 +67,11 @@
 
 interface OpenedStream {
   body: AsyncIterable<Uint8Array>;
-  /** Stops watching the caller's signal; for streams that ended. */
+  /** Removes the listener on the caller's signal; called when the stream has ended. */
   release: () => void;
 }
 
-type Answer = Dispatcher.ResponseData;
+type EngineResponse = Dispatcher.ResponseData;
 
 export function createHttpEngineClient(options: HttpEngineClientOptions): HttpEngineClient {
   const settings = { ...defaults, ...options };
@@ -137,42 +137,42 @@
   schema: Schema,
   request: Call,
 ): Promise<Result<z.infer<Schema>, EngineError>> {
-  const limit = createLimit(request);
+  const callAbort = createCallAbort(request);
   try {
-    const answer = await send(pool, request, limit.signal);
-    const body: unknown = await answer.body.json();
-    if (answer.statusCode !== 200) {
-      return err(errorFromBody(answer.statusCode, body));
+    const response = await send(pool, request, callAbort.signal);
+    const body: unknown = await response.body.json();
+    if (response.statusCode !== 200) {
+      return err(errorFromBody(response.statusCode, body));
     }
     const parsed = schema.safeParse(body);
     return parsed.success
       ? ok(parsed.data)
       : err({ kind: 'failed', detail: `unexpected answer: ${parsed.error.message}` });
   } catch (cause) {
-    return err(limit.errorFrom(cause));
+    return err(callAbort.errorFrom(cause));
   } finally {
-    limit.release();
+    callAbort.release();
   }
 }
 
 async function openStream(pool: Pool, request: Call): Promise<Result<OpenedStream, EngineError>> {
-  const limit = createLimit(request);
+  const callAbort = createCallAbort(request);
   try {
-    const answer = await send(pool, request, limit.signal);
-    if (answer.statusCode !== 200) {
-      const body: unknown = await answer.body.json();
-      limit.release();
-      return err(errorFromBody(answer.statusCode, body));
+    const response = await send(pool, request, callAbort.signal);
+    if (response.statusCode !== 200) {
+      const body: unknown = await response.body.json();
+      callAbort.release();
+      return err(errorFromBody(response.statusCode, body));
     }
-    limit.stopTimer();
-    return ok({ body: answer.body, release: limit.release });
+    callAbort.stopTimer();
+    return ok({ body: response.body, release: callAbort.release });
   } catch (cause) {
-    limit.release();
-    return err(limit.errorFrom(cause));
+    callAbort.release();
+    return err(callAbort.errorFrom(cause));
   }
 }
 
-function send(pool: Pool, request: Call, signal: AbortSignal): Promise<Answer> {
+function send(pool: Pool, request: Call, signal: AbortSignal): Promise<EngineResponse> {
   const { method, path, body } = request;
   return pool.request({
     method,
@@ -235,13 +235,13 @@
 
 const abortedByCaller: EngineError = { kind: 'failed', detail: 'aborted by the caller' };
 
-/** Joins a call's timeout and its caller's signal, and tells afterwards which of them struck. */
-function createLimit(request: Call) {
+/** Combines a call's timeout with its caller's signal; `errorFrom` reports which of them aborted the call. */
+function createCallAbort(request: Call) {
   const controller = new AbortController();
   const abort = () => controller.abort();
-  let timedOut = false;
+  let hasTimedOut = false;
   const timer = setTimeout(() => {
-    timedOut = true;
+    hasTimedOut = true;
     abort();
   }, request.timeoutMs);
   request.signal?.addEventListener('abort', abort);
@@ -257,7 +257,7 @@
       request.signal?.removeEventListener('abort', abort);
     },
     errorFrom: (cause: unknown): EngineError => {
-      if (timedOut) {
+      if (hasTimedOut) {
         return { kind: 'timeout', detail: `no answer in ${request.timeoutMs} ms` };
       }
       return request.signal?.aborted === true ? abortedByCaller : errorFromCause(cause);
@@ -265,8 +265,8 @@
   };
 }
 
-/** Failures before a connection stood: the request certainly was not sent. */
-const connectFailures: readonly string[] = [
+/** Error codes of failures before a connection was established: the request was certainly not sent. */
+const connectErrorCodes: readonly string[] = [
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -274,15 +274,15 @@
   'UND_ERR_DESTROYED',
   'UND_ERR_CLOSED',
 ];
-const timeoutFailures: readonly string[] = ['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT'];
+const timeoutErrorCodes: readonly string[] = ['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT'];
 
 function errorFromCause(cause: unknown): EngineError {
   const code = String((cause as { code?: unknown }).code ?? '');
   const detail = cause instanceof Error ? cause.message : String(cause);
-  if (connectFailures.includes(code)) {
+  if (connectErrorCodes.includes(code)) {
     return { kind: 'not-started', detail };
   }
-  if (timeoutFailures.includes(code)) {
+  if (timeoutErrorCodes.includes(code)) {
     return { kind: 'timeout', detail };
   }
   return { kind: 'died', detail };
--- a/packages/objects/__tests__/claimStore.test.ts
+++ b/packages/objects/__tests__/claimStore.test.ts
@@ -18,7 +18,7 @@
 const key = 'halloran-voss/draft-models/6f1c';
 const seed = 20_261_202;
 
-/** Runs with paused time; each check drives the clock itself. */
+/** Runs the check with fake timers; the check advances the clock itself. */
 function testWithClock(
   title: string,
   check: (t: ExecutionContext, clock: Clock, create: CreateStore) => Promise<void>,
@@ -33,7 +33,7 @@
   });
 }
 
-async function settled<Value>(
+async function advanceUntilDone<Value>(
   clock: Clock,
   work: PromiseLike<Value>,
   forMs = 20_000,
@@ -59,11 +59,14 @@
 }
 
 testWithClock(
-  'one of two takers gets the claim, the other is told who holds it',
+  'one of two takers gets the claim, the other is told that it is held',
   async (t, clock, create) => {
     const platform = createPlatform();
     const [first, second] = [create(platform, 'entry-1'), create(platform, 'entry-2')];
-    const outcomes = await settled(clock, Promise.all([take(first, 'a'), take(second, 'b')]));
+    const outcomes = await advanceUntilDone(
+      clock,
+      Promise.all([take(first, 'a'), take(second, 'b')]),
+    );
     const kinds = outcomes.map((outcome) => outcome._unsafeUnwrap().kind);
     t.deepEqual([...kinds].sort(), ['held', 'taken']);
   },
@@ -72,63 +75,67 @@
 testWithClock('a duplicate is told how the run ended', async (t, clock, create) => {
   const platform = createPlatform();
   const store = create(platform, 'entry-1');
-  const claim = claimOf((await settled(clock, take(store, 'a')))._unsafeUnwrap());
-  t.like((await settled(clock, take(store, 'b')))._unsafeUnwrap(), { state: 'running' });
-  t.true((await settled(clock, store.finish(claim, 'ran'))).isOk());
+  const claim = claimOf((await advanceUntilDone(clock, take(store, 'a')))._unsafeUnwrap());
+  t.like((await advanceUntilDone(clock, take(store, 'b')))._unsafeUnwrap(), { state: 'running' });
+  t.true((await advanceUntilDone(clock, store.finish(claim, 'ran'))).isOk());
   const other = create(platform, 'entry-2');
-  t.deepEqual((await settled(clock, take(other, 'c')))._unsafeUnwrap(), {
+  t.deepEqual((await advanceUntilDone(clock, take(other, 'c')))._unsafeUnwrap(), {
     kind: 'held',
     state: 'ran',
     requestId: 'request-a',
   });
 });
 
-// The caller's request is claimed, but the answer to the write is lost after it took effect. Reading
-// back finds the own attempt, so the request runs; without that it would be refused as a duplicate
-// of itself.
+// The write takes effect but its response is lost. Reading back must recognise the own attempt,
+// otherwise the request would be refused as a duplicate of itself.
 testWithClock(
-  'a write whose answer was lost is recognised as our own',
+  'a write whose response was lost is recognised as our own',
   async (t, clock, create) => {
     const platform = createPlatform();
     platform.control.loseAnswers({ count: 1, verb: 'create', effect: 'applied' });
-    const outcome = await settled(clock, take(create(platform, 'entry-1'), 'a'));
+    const outcome = await advanceUntilDone(clock, take(create(platform, 'entry-1'), 'a'));
     t.is(outcome._unsafeUnwrap().kind, 'taken');
-    const other = await settled(clock, take(create(platform, 'entry-2'), 'b'));
+    const other = await advanceUntilDone(clock, take(create(platform, 'entry-2'), 'b'));
     t.is(other._unsafeUnwrap().kind, 'held');
   },
 );
 
-// The write is still on its way when the reader looks: it finds nothing and writes again. The first
-// write then arrives late. Neither may give the key to two attempts.
+// The first write is still in flight when it is read back, so nothing is found and it is written again.
+// When the first write then takes effect late, the key must not go to two attempts.
 testWithClock(
-  'a write that takes effect late does not give the claim twice',
+  'a write that takes effect late does not give the claim to two attempts',
   async (t, clock, create) => {
     const platform = createPlatform();
     platform.control.loseAnswers({ count: 1, verb: 'create', effect: 'late', lateMs: 15 });
     const [first, second] = [create(platform, 'entry-1'), create(platform, 'entry-2')];
-    const outcomes = await settled(clock, Promise.all([take(first, 'a'), take(second, 'b')]));
+    const outcomes = await advanceUntilDone(
+      clock,
+      Promise.all([take(first, 'a'), take(second, 'b')]),
+    );
     const taken = outcomes.filter((outcome) => outcome.isOk() && outcome.value.kind === 'taken');
     t.is(taken.length, 1);
   },
 );
 
-// The write took effect, its answer is lost and every read-back fails: the request is refused as not
-// run and says that the claim may stay. Once the platform answers again, the claim is released in the
-// background, so that the caller's next try is not refused for the whole retention window.
+// The write takes effect, its response is lost and every read-back fails: the request is refused as not
+// run, with `claimMayStay`. Once the platform responds again, the claim must be released in the
+// background, or the caller's retries would be refused for the whole retention window.
 testWithClock(
   'a claim left behind by a failed read-back is released later',
   async (t, clock, create) => {
     const platform = createPlatform();
     const store = create(platform, 'entry-1');
-    claimOf((await settled(clock, take(store, 'warm-up', 'other-key'), 500))._unsafeUnwrap());
+    claimOf(
+      (await advanceUntilDone(clock, take(store, 'warm-up', 'other-key'), 500))._unsafeUnwrap(),
+    );
     platform.control.loseAnswers({ count: 1, verb: 'create', effect: 'applied' });
     platform.control.loseAnswers({ count: 6, verb: 'get', effect: 'dropped' });
     platform.control.loseAnswers({ count: 6, verb: 'create', effect: 'dropped' });
-    const refused = await settled(clock, take(store, 'a'), 2000);
+    const refused = await advanceUntilDone(clock, take(store, 'a'), 2000);
     t.like(refused._unsafeUnwrapErr(), { kind: 'unavailable', claimMayStay: true });
     platform.control.clearFaults();
-    await settled(clock, store.settle(), 60_000);
-    const retried = await settled(clock, take(create(platform, 'entry-2'), 'b'));
+    await advanceUntilDone(clock, store.settle(), 60_000);
+    const retried = await advanceUntilDone(clock, take(create(platform, 'entry-2'), 'b'));
     t.is(retried._unsafeUnwrap().kind, 'taken');
   },
 );
@@ -136,66 +143,70 @@
 testWithClock('an outage refuses the claim and leaves nothing behind', async (t, clock, create) => {
   const platform = createPlatform();
   platform.control.setOutage(true);
-  const refused = await settled(clock, take(create(platform, 'entry-1'), 'a'));
+  const refused = await advanceUntilDone(clock, take(create(platform, 'entry-1'), 'a'));
   t.like(refused._unsafeUnwrapErr(), { kind: 'unavailable', claimMayStay: false });
   platform.control.setOutage(false);
-  const retried = await settled(clock, take(create(platform, 'entry-2'), 'b'));
+  const retried = await advanceUntilDone(clock, take(create(platform, 'entry-2'), 'b'));
   t.is(retried._unsafeUnwrap().kind, 'taken');
 });
 
-// The answer to a release is lost. The key must end up free, and a release that arrives late must not
-// remove the claim that another attempt has taken meanwhile.
+// The response to a release is lost. The key must become free, and a release that takes effect late must
+// not remove the claim that another attempt has taken meanwhile.
 testWithClock(
-  'a released key can be taken again, and a late release does no harm',
+  'a released key can be taken again, and a late release does not remove the new claim',
   async (t, clock, create) => {
     const platform = createPlatform();
     const [first, second] = [create(platform, 'entry-1'), create(platform, 'entry-2')];
-    const claim = claimOf((await settled(clock, take(first, 'a')))._unsafeUnwrap());
+    const claim = claimOf((await advanceUntilDone(clock, take(first, 'a')))._unsafeUnwrap());
     const lost = { count: 1, effect: 'late', lateMs: 400 } as const;
     platform.control.loseAnswers({ ...lost, verb: 'remove' });
     platform.control.loseAnswers({ ...lost, verb: 'update' });
     const released = first.release(claim);
-    const taken = await settled(
+    const taken = await advanceUntilDone(
       clock,
       released.andThen(() => take(second, 'b')),
     );
     t.is(taken._unsafeUnwrap().kind, 'taken');
-    const third = await settled(clock, take(create(platform, 'entry-3'), 'c'));
+    const third = await advanceUntilDone(clock, take(create(platform, 'entry-3'), 'c'));
     t.is(third._unsafeUnwrap().kind, 'held');
   },
 );
 
 testWithClock(
-  'an unconfirmed release says so and keeps the key claimed',
+  'an unconfirmed release is reported and keeps the key claimed',
   async (t, clock, create) => {
     const platform = createPlatform();
     const store = create(platform, 'entry-1');
-    const claim = claimOf((await settled(clock, take(store, 'a')))._unsafeUnwrap());
+    const claim = claimOf((await advanceUntilDone(clock, take(store, 'a')))._unsafeUnwrap());
     platform.control.setOutage(true);
-    const released = await settled(clock, store.release(claim));
+    const released = await advanceUntilDone(clock, store.release(claim));
     t.is(released._unsafeUnwrapErr().kind, 'unconfirmed');
     platform.control.setOutage(false);
-    t.is((await settled(clock, take(store, 'b')))._unsafeUnwrap().kind, 'held');
+    t.is((await advanceUntilDone(clock, take(store, 'b')))._unsafeUnwrap().kind, 'held');
   },
 );
 
-// An old key comes again long after its window. It is taken anew, and by one of two takers only.
+// A key is used again long after its window: the expired claim must be replaced, and by only one of two
+// concurrent takers.
 testWithClock('an expired claim is replaced by exactly one taker', async (t, clock, create) => {
   const platform = createPlatform();
   const [first, second] = [create(platform, 'entry-1'), create(platform, 'entry-2')];
-  const claim = claimOf((await settled(clock, take(first, 'a')))._unsafeUnwrap());
+  const claim = claimOf((await advanceUntilDone(clock, take(first, 'a')))._unsafeUnwrap());
   await clock.tickAsync(expiresInMs - 30_000);
-  t.is((await settled(clock, take(second, 'b')))._unsafeUnwrap().kind, 'held');
+  t.is((await advanceUntilDone(clock, take(second, 'b')))._unsafeUnwrap().kind, 'held');
   await clock.tickAsync(30 * 60_000);
   t.true(monotonicNowMs() > claim.dispatchBeforeMs);
-  const outcomes = await settled(clock, Promise.all([take(first, 'c'), take(second, 'd')]));
+  const outcomes = await advanceUntilDone(
+    clock,
+    Promise.all([take(first, 'c'), take(second, 'd')]),
+  );
   const kinds = outcomes.map((outcome) => outcome._unsafeUnwrap().kind);
   t.deepEqual([...kinds].sort(), ['held', 'taken']);
 });
 
-// Many entries get the same few keys at once, over a platform whose calls overtake one another and
-// whose answers are lost before, after or long after their effect. Whatever the order, no key may be
-// given to two attempts that have not been released.
+// Several entries take the same few keys concurrently while the platform reorders calls and loses
+// responses before, after or long after the calls take effect. No key may be held by two attempts
+// that have not been released.
 testWithClock('no key is ever held by two attempts', async (t, clock, create) => {
   const lostAnswers = fc.array(
     fc.record({
@@ -212,7 +223,7 @@
       key: fc.integer({ min: 0, max: 1 }),
       atMs: fc.integer({ min: 0, max: 400 }),
       afterwards: fc.constantFrom('finish', 'release', 'nothing'),
-      // Wall clocks of entries differ by less than what the stores tolerate.
+      // Within the clock skew between entries that the store tolerates.
       skewMs: fc.integer({ min: -2000, max: 2000 }),
     }),
     { minLength: 2, maxLength: 10 },
@@ -249,7 +260,7 @@
           await store.finish(outcome.value.claim, 'ran');
         }
       });
-      await settled(clock, Promise.all(work), 60_000);
+      await advanceUntilDone(clock, Promise.all(work), 60_000);
     },
   );
   await fc.assert(property, runs);
--- a/packages/objects/__tests__/dutyLease.test.ts
+++ b/packages/objects/__tests__/dutyLease.test.ts
@@ -57,7 +57,7 @@
   return createStandinPlatform({ latencyMs: 4 });
 }
 
-async function settled<Value>(clock: Clock, work: PromiseLike<Value>, forMs = 100) {
+async function advanceUntilDone<Value>(clock: Clock, work: PromiseLike<Value>, forMs = 100) {
   const done = Promise.resolve(work);
   await clock.tickAsync(forMs);
   return done;
@@ -69,44 +69,56 @@
     const platform = createPlatform();
     const first = createLease(platform, 'entry-1');
     const second = createLease(platform, 'entry-2');
-    t.is((await settled(clock, first.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber, 1);
-    const refused = await settled(clock, second.lease.acquireOrRenew());
+    t.is(
+      (await advanceUntilDone(clock, first.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber,
+      1,
+    );
+    const refused = await advanceUntilDone(clock, second.lease.acquireOrRenew());
     t.deepEqual(refused._unsafeUnwrapErr(), { kind: 'held-by-other', holderId: 'entry-1' });
     await clock.tickAsync(2000);
-    t.is((await settled(clock, first.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber, 1);
-    t.true((await settled(clock, first.lease.release())).isOk());
+    t.is(
+      (await advanceUntilDone(clock, first.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber,
+      1,
+    );
+    t.true((await advanceUntilDone(clock, first.lease.release())).isOk());
     t.is(first.lease.heldFencing(), undefined);
-    t.is((await settled(clock, second.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber, 2);
+    t.is(
+      (await advanceUntilDone(clock, second.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber,
+      2,
+    );
     t.deepEqual([first.acquired, first.lost], [[1], [1]]);
   },
 );
 
-// The holder is paused, or the platform does not answer it, until the lease has run out. It must stop
-// by its own clock before a contender may start, without being told.
+// The holder is paused or cannot reach the platform until its lease expires. It must stop by its own
+// clock, without being notified, before a contender may start.
 testWithClock('a holder that cannot renew stops before a contender starts', async (t, clock) => {
   const platform = createPlatform();
   const first = createLease(platform, 'entry-1');
   const second = createLease(platform, 'entry-2');
-  await settled(clock, first.lease.acquireOrRenew(), 10);
-  await settled(clock, second.lease.acquireOrRenew(), 10);
+  await advanceUntilDone(clock, first.lease.acquireOrRenew(), 10);
+  await advanceUntilDone(clock, second.lease.acquireOrRenew(), 10);
   await clock.tickAsync(ttlMs - marginMs);
   t.is(first.lease.heldFencing(), undefined);
   t.deepEqual(first.lost, [1]);
   t.is(
-    (await settled(clock, second.lease.acquireOrRenew()))._unsafeUnwrapErr().kind,
+    (await advanceUntilDone(clock, second.lease.acquireOrRenew()))._unsafeUnwrapErr().kind,
     'held-by-other',
   );
   await clock.tickAsync(marginMs);
-  t.is((await settled(clock, second.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber, 2);
+  t.is(
+    (await advanceUntilDone(clock, second.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber,
+    2,
+  );
 });
 
-// A process is paused and resumes after another one took its duty over. No timer of it has fired yet
-// when its next step asks for the fencing number, so the answer must come from the clock.
+// A process resumes after another one has taken over its duty, and reads the fencing number before any of
+// its timers has fired. Validity must therefore be checked against the clock.
 testWithClock(
   'a resumed process sees that its lease has lapsed before any timer runs',
   async (t, clock) => {
     const first = createLease(createPlatform(), 'entry-1');
-    await settled(clock, first.lease.acquireOrRenew(), 10);
+    await advanceUntilDone(clock, first.lease.acquireOrRenew(), 10);
     t.truthy(first.lease.heldFencing());
     clock.jump(0);
     const realNow = performance.now.bind(performance);
@@ -116,51 +128,58 @@
   },
 );
 
-// The answer to the acquisition is lost after it took effect. Reading back finds the own session, so
-// the duty is held at once instead of standing idle for a whole time to live.
+// The response to the acquisition is lost after it took effect. Reading back must recognise the own
+// session, otherwise nobody would hold the duty for a whole time to live.
 testWithClock(
-  'a lost answer to the acquisition or renewal is settled by reading back',
+  'a lost response to the acquisition or renewal is resolved by reading back',
   async (t, clock) => {
     const platform = createPlatform();
     const first = createLease(platform, 'entry-1');
     platform.control.loseAnswers({ count: 1, verb: 'create', effect: 'applied' });
-    t.is((await settled(clock, first.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber, 1);
+    t.is(
+      (await advanceUntilDone(clock, first.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber,
+      1,
+    );
     await clock.tickAsync(3000);
     platform.control.loseAnswers({ count: 1, verb: 'update', effect: 'applied' });
-    const renewed = (await settled(clock, first.lease.acquireOrRenew(), 10))._unsafeUnwrap();
+    const renewed = (
+      await advanceUntilDone(clock, first.lease.acquireOrRenew(), 10)
+    )._unsafeUnwrap();
     t.true(renewed.validForMs > ttlMs - marginMs - 20, `valid for ${renewed.validForMs} ms`);
     t.deepEqual(first.lost, []);
   },
 );
 
-// A renewal is slow and takes effect at the platform long after it was sent. Validity counts from
-// before the call was sent: counted from the answer, two processes would hold the duty at once.
+// A slow renewal takes effect long after it was sent. Validity must count from before the call was
+// sent; counted from the response, two processes could hold the duty at the same time.
 testWithClock('validity counts from before the renewal was sent', async (t, clock) => {
   const platform = createPlatform();
   const first = createLease(platform, 'entry-1');
-  await settled(clock, first.lease.acquireOrRenew());
+  await advanceUntilDone(clock, first.lease.acquireOrRenew());
   platform.control.setSlow(2000);
-  const renewed = await settled(clock, first.lease.acquireOrRenew(), 2004);
+  const renewed = await advanceUntilDone(clock, first.lease.acquireOrRenew(), 2004);
   t.is(renewed._unsafeUnwrap().validForMs, ttlMs - marginMs - 2004);
 });
 
-// A renewal takes effect late, after a second one was sent, which therefore fails. Contenders have
-// seen the first one only, so validity must count from when that one was sent.
+// A renewal takes effect late, and a second one sent meanwhile fails because of it. Contenders saw only
+// the first one, so validity must count from when that one was sent.
 testWithClock(
-  'after a lost answer validity counts from the write that is stored',
+  'after a lost response validity counts from the write that was stored',
   async (t, clock) => {
     const platform = createPlatform();
     const first = createLease(platform, 'entry-1');
-    await settled(clock, first.lease.acquireOrRenew());
+    await advanceUntilDone(clock, first.lease.acquireOrRenew());
     platform.control.loseAnswers({ count: 1, verb: 'update', effect: 'late', lateMs: 1000 });
     platform.control.loseAnswers({ count: 1, verb: 'get', effect: 'dropped' });
-    t.true((await settled(clock, first.lease.acquireOrRenew(), 2000)).isErr());
-    const renewed = (await settled(clock, first.lease.acquireOrRenew(), 4))._unsafeUnwrap();
+    t.true((await advanceUntilDone(clock, first.lease.acquireOrRenew(), 2000)).isErr());
+    const renewed = (
+      await advanceUntilDone(clock, first.lease.acquireOrRenew(), 4)
+    )._unsafeUnwrap();
     t.is(renewed.validForMs, ttlMs - marginMs - 2004);
   },
 );
 
-testWithClock('started leases pass a duty on when their holder stops', async (t, clock) => {
+testWithClock('a contender takes over the duty when its holder stops', async (t, clock) => {
   const platform = createPlatform();
   const first = createLease(platform, 'entry-1');
   const second = createLease(platform, 'entry-2');
@@ -178,9 +197,9 @@
   await released;
 });
 
-// Three processes contend while the platform loses answers before, after and long after their
-// effect, has outages and is slow. At no moment may two of them hold the duty, and each acquisition
-// must carry a higher number than all before it.
+// Three processes contend while the platform loses responses before, after or long after the calls take
+// effect, has outages and is slow. Two of them must never hold the duty at the same time, and each
+// acquisition must get a higher number than all earlier ones.
 testWithClock(
   'there are never two holders, and fencing numbers strictly increase',
   async (t, clock) => {
--- a/packages/objects/scripts/claimCost.ts
+++ b/packages/objects/scripts/claimCost.ts
@@ -1,8 +1,8 @@
 /**
- * Measures what a claim costs the platform and its caller at several rates:
+ * Measures the cost of a claim to the platform and to its caller at several rates:
  * `node --import=tsx --conditions=bluebell-source packages/objects/scripts/claimCost.ts`.
- * The stand-in runs in the same process and answers in 4 ms; a claim is one take and one finish.
- * `--rates 25,100,400,1600` and `--seconds 5` change the runs; `--writers 2` has more than one entry take claims.
+ * The stand-in runs in the same process and responds in 4 ms; a claim is one take and one finish.
+ * `--rates 25,100,400,1600` and `--seconds 5` configure the runs; `--writers 2` lets two entries take claims.
  */
 import { parseArgs } from 'node:util';
 import { createHistogram } from 'node:perf_hooks';
@@ -25,7 +25,7 @@
 
 let refusedCount = 0;
 
-/** Bytes of values that the platform was asked to write. */
+/** Wraps a platform to count the bytes of the values written to it. */
 function countBytes(platform: PlatformApi): { platform: PlatformApi; writtenBytes(): number } {
   let bytes = 0;
   const count = (value: unknown) => {
@@ -55,7 +55,7 @@
   const writers = Array.from({ length: writerCount }, (_, index) =>
     createClaimStore({ platform, ownerId: `entry-${index}` }),
   );
-  // A writer reads the retention's history once; that is the cost of its start, printed apart.
+  // The first claims of the writers warm them up; their calls and time are printed separately.
   refusedCount = 0;
   const startedAtMs = monotonicNowMs();
   await Promise.all(writers.map((store, index) => claimOnce(store, `warm-up-${index}`)));
--- a/packages/objects/src/abandonedClaims.ts
+++ b/packages/objects/src/abandonedClaims.ts
@@ -1,20 +1,20 @@
 /**
  * Background releases of claims whose write was never confirmed. The request was refused as not run,
- * so a claim left behind would refuse the caller's next tries for the whole retention window.
+ * so a claim left behind would block the caller's retries for the whole retention window.
  */
 import { delay } from '@bluebellhitch/shared';
 
 export interface AbandonedClaimsOptions {
-  /** Tries for each claim; the pause before each doubles. */
-  tries?: number;
-  firstPauseMs?: number;
-  /** Claims looked after at once; more are left to expire. */
-  limit?: number;
+  /** Release attempts for each claim; the delay before each doubles, from `firstDelayMs`. */
+  maxTries?: number;
+  firstDelayMs?: number;
+  /** Maximum number of claims that wait for their release; further ones are left to expire. */
+  maxPending?: number;
 }
 
 /**
- * `released`: done, or another's by now. `absent`: not there, though a write in flight may still put
- * it there. `failed`: the platform gave no answer.
+ * `released`: removed, or taken by another attempt meanwhile. `absent`: not stored, though a write in
+ * flight may still store it. `failed`: the claim could not be read or removed.
  */
 export type ReleaseAttempt = 'released' | 'absent' | 'failed';
 
@@ -23,15 +23,15 @@
   settle(): Promise<void>;
 }
 
-const defaults = { tries: 6, firstPauseMs: 250, limit: 1000 } as const;
+const defaults = { maxTries: 6, firstDelayMs: 250, maxPending: 1000 } as const;
 
 export function createAbandonedClaims(options: AbandonedClaimsOptions = {}): AbandonedClaims {
-  const { tries, firstPauseMs, limit } = { ...defaults, ...options };
+  const { maxTries, firstDelayMs, maxPending } = { ...defaults, ...options };
   const running = new Set<Promise<void>>();
 
   async function releaseWithRetries(release: () => Promise<ReleaseAttempt>): Promise<void> {
-    for (let tryCount = 0; tryCount < tries; tryCount += 1) {
-      await delay(firstPauseMs * 2 ** tryCount);
+    for (let tryCount = 0; tryCount < maxTries; tryCount += 1) {
+      await delay(firstDelayMs * 2 ** tryCount);
       if ((await release()) === 'released') {
         return;
       }
@@ -40,7 +40,7 @@
 
   return {
     add(release) {
-      if (running.size >= limit) {
+      if (running.size >= maxPending) {
         return;
       }
       const task = releaseWithRetries(release).finally(() => running.delete(task));
--- a/packages/objects/src/callFailures.ts
+++ b/packages/objects/src/callFailures.ts
@@ -1,10 +1,10 @@
 /**
- * What a call of a store without a usable answer means. At-most-once claims and leases rest on the difference
- * between what certainly had no effect and what may have had one.
+ * Classifies calls to a store that got no usable response. At-most-once claims and leases depend on the
+ * difference between calls that certainly had no effect and calls that may have had one.
  */
 import type { PlatformError } from './platformApi';
 
-/** The request was never sent: nothing can have taken effect. */
+/** Error codes that mean the request was never sent, so it cannot have had an effect. */
 const notSentCodes: readonly string[] = [
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -12,7 +12,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ];
 
-/** The call threw: its connection failed or its time was over. */
+/** Error of a call that threw because its connection failed or it timed out. */
 export function lostAnswer(method: string, cause: unknown): PlatformError {
   const detail = cause instanceof Error ? cause.message : String(cause);
   const code = (cause as { code?: unknown } | undefined)?.code;
@@ -22,12 +22,12 @@
   return brokenAnswer(method, detail);
 }
 
-/** A write whose answer cannot be read may have taken effect; a read has none. */
+/** Error of a call whose response cannot be used: a write may have taken effect, a read has no effect. */
 export function brokenAnswer(method: string, detail: string): PlatformError {
   return { kind: method === 'GET' ? 'unavailable' : 'unknown-outcome', detail };
 }
 
-/** Undefined for a text that is no JSON. */
+/** Returns `undefined` if the text is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/packages/objects/src/claimApi.ts
+++ b/packages/objects/src/claimApi.ts
@@ -1,7 +1,7 @@
-/** The one interface to at-most-once claims; how they are stored and batched is behind it. */
+/** Interface of at-most-once claims, independent of how they are stored. */
 import type { ResultAsync } from 'neverthrow';
 
-/** `unknown`: the end of the run was not observed. */
+/** State of the claimed run. `unknown`: how the run ended was not observed. */
 export type ClaimState = 'running' | 'ran' | 'unknown';
 
 /** A claim that this process holds. */
@@ -10,19 +10,19 @@
   requestId: string;
   attemptId: string;
   /**
-   * Monotonic time (`monotonicNowMs`) after which the holder must not dispatch any more. A process
-   * that was paused for longer might otherwise run a request whose claim has expired meanwhile.
+   * Monotonic time (`monotonicNowMs`) after which the holder must not dispatch the request. Otherwise
+   * a process that was paused for a long time could run a request whose claim has since expired.
    */
   dispatchBeforeMs: number;
 }
 
-export interface TakeClaim {
+export interface ClaimRequest {
   /** Institution, service and the digest of the idempotency key. */
   key: string;
   requestId: string;
-  /** Unique for each call of `take`: it is the token that a read-back looks for. */
+  /** Unique for each call of `take`; a read-back recognises its own claim by it. */
   attemptId: string;
-  /** How long the key stays claimed at least, unless it is released. */
+  /** Minimum time for which the key stays claimed unless it is released. */
   expiresInMs: number;
 }
 
@@ -31,21 +31,21 @@
 
 export type ClaimError =
   /**
-   * Not taken: the request must be refused as not run. With `claimMayStay` the platform may hold the
-   * claim all the same, so that later tries with the key are refused until it is released in the
-   * background or expires.
+   * Not taken: the request must be refused as not run. With `claimMayStay` the platform may have
+   * stored the claim nevertheless; later requests with the key are then refused until the claim is
+   * released in the background or expires.
    */
   | { kind: 'unavailable'; detail: string; claimMayStay: boolean; retryAfterMs?: number }
-  /** A change of a taken claim was not confirmed: the claim stays as it was, or is changed. */
+  /** A change of a taken claim was not confirmed: it may or may not have taken effect. */
   | { kind: 'unconfirmed'; detail: string };
 
 export interface ClaimStore {
   /** Takes the claim of a request that is about to be dispatched. */
-  take(request: TakeClaim): ResultAsync<ClaimOutcome, ClaimError>;
-  /** Records how the run ended, for what duplicates are told. */
+  take(request: ClaimRequest): ResultAsync<ClaimOutcome, ClaimError>;
+  /** Records how the run ended, so that duplicates can be told. */
   finish(claim: Claim, state: 'ran' | 'unknown'): ResultAsync<void, ClaimError>;
-  /** Gives the key free; only for a request that certainly did not run. */
+  /** Frees the key. Only for a request that certainly did not run. */
   release(claim: Claim): ResultAsync<void, ClaimError>;
-  /** Waits for releases that still run in the background. */
+  /** Waits until all background releases have ended. */
   settle(): Promise<void>;
 }
--- a/packages/objects/src/claimRecord.ts
+++ b/packages/objects/src/claimRecord.ts
@@ -1,30 +1,30 @@
-/** Stored form of at-most-once claims, and the rules on their age. */
+/** Stored form of at-most-once claims, and the rules for their expiry. */
 import * as z from 'zod';
-import type { ClaimError, ClaimOutcome, TakeClaim } from './claimApi';
+import type { ClaimError, ClaimOutcome, ClaimRequest } from './claimApi';
 import type { PlatformError } from './platformApi';
 
 export const claimRecordSchema = z.object({
-  /** Owner and attempt together are the token that a read-back looks for. */
+  /** Owner and attempt together identify the claim when it is read back. */
   ownerId: z.string(),
   attemptId: z.string(),
   requestId: z.string(),
   state: z.enum(['running', 'ran', 'unknown']),
-  /** Wall clock of the taker, ISO 8601. */
+  /** Wall-clock time of the process that took the claim, ISO 8601. */
   takenAt: z.string(),
   expiresInMs: z.number().positive(),
 });
 export type ClaimRecord = z.infer<typeof claimRecordSchema>;
 
 /**
- * Difference between two instances' wall clocks that claims tolerate. A claim counts as expired only
- * this long after its window.
+ * Largest difference between the wall clocks of two instances that claims tolerate. A claim counts as
+ * expired only once this time has passed after the end of its window.
  */
-export const clockSkewMs = 10 * 60_000;
+export const maxClockSkewMs = 10 * 60_000;
 
-/** Share of the window in which the holder may dispatch; the rest is for the run itself. */
+/** Share of the window within which the holder may dispatch; the rest is left for the run itself. */
 const dispatchShare = 0.5;
 
-export function newClaimRecord(ownerId: string, request: TakeClaim): ClaimRecord {
+export function newClaimRecord(ownerId: string, request: ClaimRequest): ClaimRecord {
   return {
     ownerId,
     attemptId: request.attemptId,
@@ -40,10 +40,10 @@
   return parsed.success ? parsed.data : undefined;
 }
 
-/** A record that cannot be read never counts as expired: its key stays claimed. */
+/** A record that cannot be parsed never counts as expired: its key stays claimed. */
 export function isExpired(record: ClaimRecord | undefined): boolean {
   const takenAtMs = record === undefined ? Number.NaN : Date.parse(record.takenAt);
-  return record !== undefined && Date.now() > takenAtMs + record.expiresInMs + clockSkewMs;
+  return record !== undefined && Date.now() > takenAtMs + record.expiresInMs + maxClockSkewMs;
 }
 
 export function isSameToken(
@@ -53,9 +53,9 @@
   return record?.ownerId === token.ownerId && record.attemptId === token.attemptId;
 }
 
-/** `sentAtMs` is the monotonic time from before the first write was sent. */
+/** `sentAtMs` is a monotonic time taken before the first write was sent. */
 export function takenOutcome(
-  request: TakeClaim,
+  request: ClaimRequest,
   sentAtMs: number,
 ): ClaimOutcome & { kind: 'taken' } {
   const { key, requestId, attemptId, expiresInMs } = request;
--- a/packages/objects/src/claimStore.ts
+++ b/packages/objects/src/claimStore.ts
@@ -1,6 +1,6 @@
 /**
- * Claims as one platform object each: create-if-absent takes one, a conditional update finishes it.
- * docs/design/claims.md weighs this against `createGroupedClaimStore`.
+ * Claim store that keeps one platform object per claim: create-if-absent takes a claim, a conditional
+ * update finishes it. docs/design/claims.md compares this with several claims per object.
  */
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import { assertNever, delay, monotonicNowMs } from '@bluebellhitch/shared';
@@ -9,7 +9,7 @@
   type AbandonedClaimsOptions,
   type ReleaseAttempt,
 } from './abandonedClaims';
-import type { Claim, ClaimError, ClaimOutcome, ClaimStore, TakeClaim } from './claimApi';
+import type { Claim, ClaimError, ClaimOutcome, ClaimStore, ClaimRequest } from './claimApi';
 import {
   heldOutcome,
   isExpired,
@@ -30,36 +30,36 @@
 
 export interface ClaimStoreOptions {
   platform: PlatformApi;
-  /** Id of the entry that takes claims; operators see it. */
+  /** Id of the entry that takes claims. Stored with each claim, where operators can see it. */
   ownerId: string;
-  /** Writes tried for one call before its outcome is given up as unknown. */
-  tries?: number;
-  /** No further try starts after this long. */
+  /** Maximum number of writes for one call; after that the call fails. */
+  maxTries?: number;
+  /** No retry starts once this time has passed since the first write. */
   budgetMs?: number;
-  /** Pause between tries. */
-  pauseMs?: number;
+  /** Delay before the first retry; it grows linearly with each further one. */
+  retryDelayMs?: number;
   abandoned?: AbandonedClaimsOptions;
 }
 
-const defaults = { tries: 3, budgetMs: 1500, pauseMs: 20 } as const;
+const defaults = { maxTries: 3, budgetMs: 1500, retryDelayMs: 20 } as const;
 
-/** What one write led to. */
+/** Outcome of one write. */
 type WriteStep =
   | { kind: 'stored'; object: StoredObject }
-  /** Write again, in place of the expired claim where there is one. */
+  /** Write again; `expired` is the claim to replace, if there is one. */
   | { kind: 'again'; error: PlatformError; expired?: StoredObject }
   | { kind: 'refused'; error: PlatformError };
 
 export function createClaimStore(options: ClaimStoreOptions): ClaimStore {
-  const { platform, ownerId, tries, budgetMs, pauseMs } = { ...defaults, ...options };
+  const { platform, ownerId, maxTries, budgetMs, retryDelayMs } = { ...defaults, ...options };
   const abandoned = createAbandonedClaims(options.abandoned);
-  /** Last known stored form of the claims that this process holds. */
+  /** Last known stored object of each claim that this process holds. */
   const storedClaims = new WeakMap<Claim, StoredObject>();
 
-  async function take(request: TakeClaim): Promise<Result<ClaimOutcome, ClaimError>> {
+  async function take(request: ClaimRequest): Promise<Result<ClaimOutcome, ClaimError>> {
     const sentAtMs = monotonicNowMs();
     const record = newClaimRecord(ownerId, request);
-    const written = await writeUntilKnown(request.key, record);
+    const written = await writeUntilConfirmed(request.key, record);
     if (written.isErr()) {
       if (written.error.kind === 'unavailable' && written.error.claimMayStay) {
         abandoned.add(() => releaseAbandoned(request.key, record));
@@ -69,8 +69,8 @@
     return ok(readOutcome(written.value, request, sentAtMs));
   }
 
-  /** The stored claim of the key: our own where it is taken, else another's. */
-  async function writeUntilKnown(
+  /** Returns the stored claim of the key: our own if the write succeeded, otherwise another's. */
+  async function writeUntilConfirmed(
     key: string,
     record: ClaimRecord,
   ): Promise<Result<StoredObject, ClaimError>> {
@@ -82,18 +82,18 @@
         return ok(step.object);
       }
       mayStay ||= step.error.kind === 'unknown-outcome';
-      const isOver = tryCount >= tries || monotonicNowMs() - startedAtMs >= budgetMs;
+      const isOver = tryCount >= maxTries || monotonicNowMs() - startedAtMs >= budgetMs;
       if (isOver || (step.kind === 'refused' && !mayStay)) {
         return err(unavailable(step.error, mayStay));
       }
-      await delay(pauseMs * tryCount);
+      await delay(retryDelayMs * tryCount);
       step = await writeOnce(key, record, step.kind === 'again' ? step.expired : undefined);
     }
   }
 
   /**
-   * After a lost answer the claim may be there: reading back decides. Where nothing is there yet,
-   * writing again is safe, since a late first write then meets a record with our own token.
+   * After a lost response the claim may have been stored, so it is read back. If nothing is stored yet,
+   * writing again is safe: should the first write take effect late, it finds a record with our own token.
    */
   async function writeOnce(
     key: string,
@@ -133,7 +133,11 @@
       .orElse((error) => (error.kind === 'not-found' ? ok(undefined) : err(error)));
   }
 
-  function readOutcome(object: StoredObject, request: TakeClaim, sentAtMs: number): ClaimOutcome {
+  function readOutcome(
+    object: StoredObject,
+    request: ClaimRequest,
+    sentAtMs: number,
+  ): ClaimOutcome {
     const stored = parseClaimRecord(object.value);
     if (!isSameToken(stored, { ownerId, attemptId: request.attemptId })) {
       return heldOutcome(stored);
@@ -150,7 +154,7 @@
         return platform.update(objectKinds.claim, claim.key, object.version, value).map(() => {});
       },
       isDone: (record) => record.state === state,
-      whenGone: err({ kind: 'not-found' }),
+      resultIfGone: err({ kind: 'not-found' }),
     });
   }
 
@@ -158,22 +162,22 @@
     return changeOwn(claim, {
       write: (object) => platform.remove(objectKinds.claim, claim.key, object.version),
       isDone: () => false,
-      whenGone: ok(undefined),
+      resultIfGone: ok(undefined),
     });
   }
 
   function changeOwn(claim: Claim, change: OwnChange): ResultAsync<void, ClaimError> {
-    return new ResultAsync(changeUntilKnown(claim, change)).mapErr(unconfirmed);
+    return new ResultAsync(changeUntilConfirmed(claim, change)).mapErr(unconfirmed);
   }
 
-  /** Repeats the conditional write of an own claim, reading it back after each failure. */
-  async function changeUntilKnown(
+  /** Repeats the conditional write of our own claim, reading the claim back after each failure. */
+  async function changeUntilConfirmed(
     claim: Claim,
     change: OwnChange,
   ): Promise<Result<void, PlatformError>> {
     let step = await changeOnce(change, storedClaims.get(claim));
-    for (let tryCount = 1; tryCount < tries && step.kind === 'again'; tryCount += 1) {
-      await delay(pauseMs * tryCount);
+    for (let tryCount = 1; tryCount < maxTries && step.kind === 'again'; tryCount += 1) {
+      await delay(retryDelayMs * tryCount);
       step = await readAndChange(claim, change);
     }
     return step.kind === 'done' ? step.result : err(step.error);
@@ -196,7 +200,7 @@
     }
     const record = parseClaimRecord(current.value?.value);
     if (record === undefined || !isSameToken(record, { ownerId, attemptId: claim.attemptId })) {
-      return { kind: 'done', result: change.whenGone };
+      return { kind: 'done', result: change.resultIfGone };
     }
     return change.isDone(record)
       ? { kind: 'done', result: ok(undefined) }
@@ -230,8 +234,8 @@
 interface OwnChange {
   write(object: StoredObject): ResultAsync<void, PlatformError>;
   isDone(record: ClaimRecord): boolean;
-  /** Result where the claim is no longer there, or is another's. */
-  whenGone: Result<void, PlatformError>;
+  /** Result if the claim no longer exists or belongs to another attempt. */
+  resultIfGone: Result<void, PlatformError>;
 }
 
 type ChangeStep =
--- a/packages/objects/src/dutyLease.ts
+++ b/packages/objects/src/dutyLease.ts
@@ -1,11 +1,13 @@
 /**
- * Lease of a duty that needs one holder at a time, with a fencing number. All times are monotonic and
- * local: a holder counts its validity from before its write was sent, and a contender counts the
- * other's from when it first saw the unchanged version. So no two clocks are ever compared.
+ * Lease of a duty that may have only one holder at a time, with a fencing number. All times are
+ * monotonic and local: a holder counts the validity of its lease from before its write was sent, and a
+ * contender counts it from when it first saw the unchanged version. So clocks of different
+ * processes are never compared.
  *
- * A platform that comes back from an older copy has lost writes: a later holder may be unknown to it and still act. So
- * nobody takes a lease whose record is of an earlier era before the time of any such holder is over, and fencing numbers of
- * an era begin above all that an earlier one can have given.
+ * A platform that was restored from a backup has lost writes, so there may be a holder that it does not
+ * know of and that still acts. A lease whose record is from an earlier era is therefore taken only once
+ * any such holder's lease must have expired, and the fencing numbers of an era start above all numbers
+ * that an earlier era can have issued.
  */
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import { eraOf, type StorePosition } from '@bluebellhitch/protocol';
@@ -14,12 +16,12 @@
 import { parseDutyLease, type DutyLeaseRecord } from './dutyLeaseRecord';
 import type { ObjectApi, PlatformError, StoredObject } from './platformApi';
 
-/** Proof of holding a duty: goes with each order that the holder sends. */
+/** Fencing data of a held lease, sent with each order of the holder. */
 export interface HeldFencing {
   fencingNumber: number;
-  /** Remaining validity; the holder acts only while it is positive. */
+  /** Remaining validity; the holder may act only while it is positive. */
   validForMs: number;
-  /** Nobody held the duty before: no order of another can be on its way. */
+  /** Nobody held the duty before, so no order of an earlier holder can be in flight. */
   isFirst: boolean;
 }
 
@@ -31,40 +33,41 @@
   /** Name of the duty, such as `orders/draft-models`. */
   key: string;
   holderId: string;
-  /** A contender waits this long after the last renewal that it saw. */
+  /** Time to live: a contender waits this long after the last renewal that it saw. */
   ttlMs?: number;
-  /** The holder stops this much earlier. */
+  /** How long before the end of the time to live the holder stops acting. */
   marginMs?: number;
-  /** Pause between the holder's renewals; a failed one is repeated sooner. */
+  /** Interval between renewals by the holder; a failed renewal is retried sooner. */
   renewMs?: number;
-  /** Pause between a contender's looks; each is a read of the platform. */
+  /** Interval between a contender's attempts; each reads the lease from the platform. */
   contendMs?: number;
-  /** How often the platform came back from an older copy, as far as is known; see `StorePosition`. */
+  /** How many times the platform is known to have been restored from a backup; see `StorePosition`. */
   currentEra?: () => number;
-  /** The system starts for the first time: a lease that is not there was nobody's. */
+  /** The system starts for the first time, so a lease that is not stored was never held. */
   isFirstStart?: boolean;
   onAcquired?(fencingNumber: number): void;
-  /** Called once for each acquisition, when it is released, taken over or not renewed in time. */
+  /** Called once per acquisition, when the lease is released, taken over or not renewed in time. */
   onLost?(fencingNumber: number): void;
   random?: Random;
 }
 
 export interface DutyLease {
-  /** Acquires the lease where it is free or has lapsed, renews it where it is held. */
+  /** Acquires the lease if it is free or has lapsed; renews it if this process holds it. */
   acquireOrRenew(): ResultAsync<HeldFencing, DutyLeaseError>;
   release(): ResultAsync<void, DutyLeaseError>;
-  /** `undefined` from the expiry less the margin on, also when a paused process resumes. */
+  /** `undefined` once the lease is within `marginMs` of its expiry, also when a paused process resumes. */
   heldFencing(): HeldFencing | undefined;
-  /** Acquires and renews until `stop`. */
+  /** Acquires and renews the lease in the background until `stop` is called. */
   start(): void;
-  /** Stops and releases. */
+  /** Ends the background renewal and releases the lease. */
   stop(): Promise<void>;
 }
 
 const defaults = { ttlMs: 6000, marginMs: 1500, renewMs: 1500, contendMs: 3000 } as const;
 
-const retryShare = 0.25;
-/** More than a lease is acquired in any era. */
+/** Share of `renewMs` after which a failed renewal is retried. */
+const retryIntervalShare = 0.25;
+/** Above the number of times that any lease is acquired in one era. */
 const fencingNumbersPerEra = 1_000_000;
 
 interface HeldLease extends WrittenLease {
@@ -83,11 +86,11 @@
   const object = createDutyLeaseObject({ platform, key, holderId, session, ttlMs, currentEra });
   let held: HeldLease | undefined;
   let lapseTimer: NodeJS.Timeout | undefined;
-  /** The version that another holder wrote last, and since when this process has seen it. */
-  let seen: { version: StorePosition; sinceMs: number } | undefined;
-  /** The platform's era, and since when this process has seen it here. */
-  let seenEra = { era: 0, sinceMs: -Infinity };
-  let lastWork: Promise<unknown> = Promise.resolve();
+  /** Last version seen that another holder wrote, and when this process first saw it. */
+  let observed: { version: StorePosition; sinceMs: number } | undefined;
+  /** The platform's era, and when this lease first saw it. */
+  let observedEra = { era: 0, sinceMs: -Infinity };
+  let lastCall: Promise<unknown> = Promise.resolve();
   let loop: { stop: AbortController; ended: Promise<void> } | undefined;
 
   function heldFencing(): HeldFencing | undefined {
@@ -112,10 +115,10 @@
 
   async function renew(lease: HeldLease): Promise<Result<HeldFencing, DutyLeaseError>> {
     const record = await object.write(lease.fencingNumber, lease.version);
-    // The lease may have lapsed, and its loss been reported, while the answer was on its way. It is
-    // acquired again with a higher number then, so that the old one never comes back to life.
+    // The lease may have lapsed, and its loss been reported, before the response arrived. It must then be
+    // acquired again with a higher number, so that a number reported as lost never becomes valid again.
     if (held?.fencingNumber !== lease.fencingNumber) {
-      return err(lapsed);
+      return err(lapsedError);
     }
     return record.mapErr(platformError).andThen((stored) => confirm(stored, lease));
   }
@@ -125,7 +128,9 @@
   ): Promise<Result<HeldFencing, DutyLeaseError>> {
     const record = parseDutyLease(current?.value);
     if (current !== undefined && record === undefined) {
-      return err(platformError({ kind: 'rejected', detail: `unreadable lease ${key}` }));
+      return err(
+        platformError({ kind: 'rejected', detail: `the stored lease ${key} cannot be parsed` }),
+      );
     }
     if (!isFree(current, record)) {
       return err({ kind: 'held-by-other', holderId: record?.holderId ?? 'unknown' });
@@ -140,56 +145,57 @@
   }
 
   function noteEra(): void {
-    if (currentEra() !== seenEra.era) {
-      seenEra = { era: currentEra(), sinceMs: monotonicNowMs() };
+    if (currentEra() !== observedEra.era) {
+      observedEra = { era: currentEra(), sinceMs: monotonicNowMs() };
     }
   }
 
-  /** Whether holders that an older copy of the platform does not know have lapsed by now. */
-  function isEraOver(record: DutyLeaseRecord | undefined): boolean {
-    const isOfThisEra = record !== undefined && (record.era ?? 0) === seenEra.era;
-    const wasNobodys = record === undefined && isFirstStart;
+  /** Whether the leases of holders that a restored platform does not know of must have expired. */
+  function haveEarlierLeasesExpired(record: DutyLeaseRecord | undefined): boolean {
+    const isOfCurrentEra = record !== undefined && (record.era ?? 0) === observedEra.era;
+    const wasNeverHeld = record === undefined && isFirstStart;
     const waitMs = Math.max(ttlMs, record?.ttlMs ?? 0);
-    return isOfThisEra || wasNobodys || monotonicNowMs() - seenEra.sinceMs >= waitMs;
+    return isOfCurrentEra || wasNeverHeld || monotonicNowMs() - observedEra.sinceMs >= waitMs;
   }
 
   function isFree(current: StoredObject | undefined, record: DutyLeaseRecord | undefined): boolean {
-    if (!isEraOver(record)) {
+    if (!haveEarlierLeasesExpired(record)) {
       return false;
     }
     return current === undefined || record === undefined || hasLapsed(current.version, record);
   }
 
-  /** Whether the lease is released, our own lapsed one, or unchanged for its whole time to live. */
+  /** Whether the lease was released, is our own lapsed one, or was not renewed for its time to live. */
   function hasLapsed(version: StorePosition, record: DutyLeaseRecord): boolean {
     if (record.holderId === undefined || record.session === session) {
       return true;
     }
     const nowMs = monotonicNowMs();
-    if (seen?.version !== version) {
-      seen = { version, sinceMs: nowMs };
+    if (observed?.version !== version) {
+      observed = { version, sinceMs: nowMs };
     }
-    return nowMs - seen.sinceMs >= Math.max(ttlMs, record.ttlMs);
+    return nowMs - observed.sinceMs >= Math.max(ttlMs, record.ttlMs);
   }
 
-  /** Holds the lease where `stored` is our own write, for as long as that write allows. */
+  /** Holds the lease if `stored` is our own write, until the validity of that write ends. */
   function confirm(
     stored: StoredObject,
     { fencingNumber, isFirst }: Pick<HeldLease, 'fencingNumber' | 'isFirst'>,
   ): Result<HeldFencing, DutyLeaseError> {
     const record = parseDutyLease(stored.value);
-    const sent = record === undefined ? undefined : object.sentAtOf(record);
-    // A write that crossed the platform's return may have hit an object that got its condition's version anew.
+    const sentAtMs = record === undefined ? undefined : object.sentAtOf(record);
+    // A write in flight while the platform was restored may have hit an object that reached the expected
+    // version a second time.
     const isOfEra = (record?.era ?? 0) === eraOf(stored.version);
     const isOurs = isOfEra && record?.fencingNumber === fencingNumber;
-    if (record === undefined || sent === undefined || !isOurs) {
+    if (record === undefined || sentAtMs === undefined || !isOurs) {
       drop();
       return err({ kind: 'held-by-other', holderId: record?.holderId ?? 'unknown' });
     }
-    const validUntilMs = sent + ttlMs - marginMs;
+    const validUntilMs = sentAtMs + ttlMs - marginMs;
     hold({ fencingNumber, validUntilMs, isFirst, version: stored.version });
     const fencing = heldFencing();
-    return fencing === undefined ? err(lapsed) : ok(fencing);
+    return fencing === undefined ? err(lapsedError) : ok(fencing);
   }
 
   function hold(lease: HeldLease): void {
@@ -222,7 +228,7 @@
     }
   }
 
-  /** Stops acting first: whatever the platform answers, this process holds the lease no longer. */
+  /** Drops the lease first: whatever the platform responds, this process no longer holds it. */
   async function release(): Promise<Result<void, DutyLeaseError>> {
     const lease = held;
     drop();
@@ -232,27 +238,27 @@
     return (await object.release(lease)).mapErr(platformError);
   }
 
-  /** Calls of the platform never overlap, so that each starts from the outcome of the one before. */
-  function inTurn<Value>(
+  /** Runs platform calls one after another, so that each starts from the outcome of the previous one. */
+  function runSerially<Value>(
     work: () => Promise<Result<Value, DutyLeaseError>>,
   ): ResultAsync<Value, DutyLeaseError> {
-    const result = lastWork.then(work);
-    lastWork = result.catch(() => undefined);
+    const result = lastCall.then(work);
+    lastCall = result.catch(() => undefined);
     return new ResultAsync(result);
   }
 
   async function run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const answer = await inTurn(acquireOrRenew);
-      await delay(pauseAfter(answer) * (0.8 + 0.4 * random()), signal);
+      const result = await runSerially(acquireOrRenew);
+      await delay(intervalAfter(result) * (0.8 + 0.4 * random()), signal);
     }
   }
 
-  function pauseAfter(answer: Result<HeldFencing, DutyLeaseError>): number {
-    if (answer.isOk()) {
+  function intervalAfter(result: Result<HeldFencing, DutyLeaseError>): number {
+    if (result.isOk()) {
       return renewMs;
     }
-    return held === undefined ? contendMs : renewMs * retryShare;
+    return held === undefined ? contendMs : renewMs * retryIntervalShare;
   }
 
   function start(): void {
@@ -267,21 +273,21 @@
     loop = undefined;
     running?.stop.abort();
     await running?.ended;
-    await inTurn(release);
+    await runSerially(release);
   }
 
   return {
-    acquireOrRenew: () => inTurn(acquireOrRenew),
-    release: () => inTurn(release),
+    acquireOrRenew: () => runSerially(acquireOrRenew),
+    release: () => runSerially(release),
     heldFencing,
     start,
     stop,
   };
 }
 
-const lapsed: DutyLeaseError = {
+const lapsedError: DutyLeaseError = {
   kind: 'platform',
-  error: { kind: 'unavailable', detail: 'the lease lapsed before the answer came' },
+  error: { kind: 'unavailable', detail: 'the lease expired before the response arrived' },
 };
 
 function platformError(error: PlatformError): DutyLeaseError {
--- a/packages/objects/src/dutyLeaseObject.ts
+++ b/packages/objects/src/dutyLeaseObject.ts
@@ -1,6 +1,6 @@
 /**
- * Reads and conditional writes of a duty lease's object. Remembers when each write was sent, because a
- * lease is valid from then on, whichever of several unanswered writes turns out to be the stored one.
+ * Reads and conditionally writes the object of a duty lease. Records when each write was sent, because
+ * the validity of a lease counts from then, whichever of several unconfirmed writes was stored.
  */
 import { err, ok, type Result, type ResultAsync } from 'neverthrow';
 import { eraOf, type StorePosition } from '@bluebellhitch/protocol';
@@ -12,13 +12,13 @@
   platform: ObjectApi;
   key: string;
   holderId: string;
-  /** Differs between two runs that use one holder id. */
+  /** Distinguishes runs that use the same holder id. */
   session: string;
   ttlMs: number;
   currentEra: () => number;
 }
 
-/** What this session wrote last. */
+/** The last write of this session. */
 export interface WrittenLease {
   fencingNumber: number;
   version: StorePosition;
@@ -26,13 +26,13 @@
 
 export type DutyLeaseObject = ReturnType<typeof createDutyLeaseObject>;
 
-/** Writes remembered while their answers are lost; an older one found stored counts as not ours. */
-const unconfirmedLimit = 16;
-const releaseTries = 3;
+/** Unconfirmed writes whose send times are kept; an older one that turns out to be stored counts as not ours. */
+const maxUnconfirmedWrites = 16;
+const maxReleaseTries = 3;
 
 export function createDutyLeaseObject(options: DutyLeaseObjectOptions) {
   const { platform, key, holderId, session, ttlMs, currentEra } = options;
-  /** When each write was sent that may be the stored one, by its sequence number. */
+  /** Send times of the writes that may be the stored one, by sequence number. */
   const sentAtMs = new Map<number, number>();
   let sequence = 0;
 
@@ -43,7 +43,7 @@
       .orElse((error) => (error.kind === 'not-found' ? ok(undefined) : err(error)));
   }
 
-  /** Writes the lease and answers what is stored afterwards, our own write or another's. */
+  /** Writes the lease and returns what is stored afterwards: our own write or another's. */
   async function write(
     fencingNumber: number,
     version: StorePosition | undefined,
@@ -51,12 +51,12 @@
     sequence += 1;
     const era = eraField(currentEra());
     const record: DutyLeaseRecord = { fencingNumber, ...era, holderId, session, sequence, ttlMs };
-    rememberSent(sequence);
-    const answer = await put(version, record);
-    if (answer.isOk()) {
-      return ok(answer.value);
+    recordSent(sequence);
+    const written = await put(version, record);
+    if (written.isOk()) {
+      return ok(written.value);
     }
-    return storedAfter(answer.error, sequence);
+    return resolveStored(written.error, sequence);
   }
 
   function put(
@@ -68,8 +68,11 @@
       : platform.update(objectKinds.lease, key, version, record);
   }
 
-  /** A lost answer is settled by reading back; the stored sequence number tells whose write it is. */
-  async function storedAfter(
+  /**
+   * What is stored after a failed write. After a lost response, or a conflict without the current object,
+   * the lease is read back; the stored session and sequence number show whose write it is.
+   */
+  async function resolveStored(
     error: PlatformError,
     failedSequence: number,
   ): Promise<Result<StoredObject, PlatformError>> {
@@ -86,15 +89,15 @@
     return current.andThen((object) => (object === undefined ? err(error) : ok(object)));
   }
 
-  function rememberSent(sentSequence: number): void {
+  function recordSent(sentSequence: number): void {
     sentAtMs.set(sentSequence, monotonicNowMs());
-    const oldest = [...sentAtMs.keys()].slice(0, -unconfirmedLimit);
+    const oldest = [...sentAtMs.keys()].slice(0, -maxUnconfirmedWrites);
     oldest.forEach((old) => sentAtMs.delete(old));
   }
 
   /**
-   * Monotonic time at which the stored write was sent, `undefined` where it is not ours. Writes before
-   * it had an older version as their condition and cannot take effect any more.
+   * Monotonic time at which the stored write was sent, or `undefined` if it is not ours. Earlier writes
+   * were conditional on an older version and can no longer take effect.
    */
   function sentAtOf(stored: DutyLeaseRecord): number | undefined {
     if (stored.session !== session) {
@@ -106,22 +109,23 @@
     return sentAtMs.get(stored.sequence);
   }
 
-  /** Frees the lease where this session still holds it, until the outcome is known. */
+  /** Releases the lease if this session still holds it; retries until the outcome is known. */
   async function release(lease: WrittenLease): Promise<Result<void, PlatformError>> {
     let { version } = lease;
     let failure: PlatformError = { kind: 'not-found' };
-    for (let tryCount = 0; tryCount < releaseTries; tryCount += 1) {
+    for (let tryCount = 0; tryCount < maxReleaseTries; tryCount += 1) {
       sequence += 1;
-      // Of the era in which it was held: in a later one others may have held it since, and are waited for.
+      // The era in which the lease was held: if the current era is later, contenders must still wait for
+      // holders of the lost records to expire.
       const era = eraField(eraOf(lease.version));
-      const free = { fencingNumber: lease.fencingNumber, ...era, session, sequence, ttlMs };
-      const written = await platform.update(objectKinds.lease, key, version, free);
+      const released = { fencingNumber: lease.fencingNumber, ...era, session, sequence, ttlMs };
+      const written = await platform.update(objectKinds.lease, key, version, released);
       if (written.isOk()) {
         return ok(undefined);
       }
       failure = written.error;
       const current = await read();
-      const ownVersion = current.map((object) => versionHeldUnder(object, lease.fencingNumber));
+      const ownVersion = current.map((object) => findOwnVersion(object, lease.fencingNumber));
       if (ownVersion.isOk() && ownVersion.value === undefined) {
         return ok(undefined);
       }
@@ -130,8 +134,8 @@
     return err(failure);
   }
 
-  /** Version of the stored lease where this process is still its holder. */
-  function versionHeldUnder(
+  /** Version of the stored lease if this process still holds it. */
+  function findOwnVersion(
     object: StoredObject | undefined,
     fencingNumber: number,
   ): StorePosition | undefined {
--- a/packages/objects/src/dutyLeaseRecord.ts
+++ b/packages/objects/src/dutyLeaseRecord.ts
@@ -1,16 +1,19 @@
-/** Stored form of a duty lease. The object is never removed, so its fencing number never restarts. */
+/** Stored form of a duty lease. The object is never removed, so that its fencing number never restarts. */
 import * as z from 'zod';
 
 export const dutyLeaseRecordSchema = z.object({
   /** Strictly increases with each acquisition. */
   fencingNumber: z.number().int().positive(),
-  /** Of the platform when it was written; absent in its first era. Another than now: later holders may be lost. */
+  /**
+   * Era of the platform when the record was written; absent in the first era. If it differs from the
+   * current era, records of later holders may have been lost.
+   */
   era: z.number().int().nonnegative().optional(),
-  /** Absent: released. */
+  /** Absent if the lease was released. */
   holderId: z.string().optional(),
-  /** Differs between two processes, or two runs, that use one holder id. */
+  /** Distinguishes processes, or runs of a process, that use the same holder id. */
   session: z.string(),
-  /** Counts the session's writes: tells which of them took effect when answers are lost. */
+  /** Number of the session's write; shows which write took effect when responses were lost. */
   sequence: z.number().int().nonnegative(),
   ttlMs: z.number().positive(),
 });
--- a/packages/objects/src/httpPlatformClient.ts
+++ b/packages/objects/src/httpPlatformClient.ts
@@ -1,6 +1,6 @@
 /**
- * Client of the platform's HTTP interface. Its errors keep apart what certainly had no effect from
- * what may have had one, because at-most-once claims and leases rest on that difference.
+ * Client of the platform's HTTP interface. Its errors distinguish calls that certainly had no effect
+ * from calls that may have had one, because at-most-once claims and leases depend on the difference.
  */
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import { Agent, request, type Dispatcher } from 'undici';
@@ -19,10 +19,10 @@
 export interface HttpPlatformClientOptions {
   /** `http://ip:port`. */
   address: string;
-  /** Longest wait for an answer; a watch may take its own `waitMs` longer. */
+  /** Maximum wait for a response; a watch may take longer by its own `waitMs`. */
   timeoutMs?: number;
   connectTimeoutMs?: number;
-  /** Connections at most; waiting watches use one each. */
+  /** Maximum number of connections; each pending watch occupies one. */
   connections?: number;
 }
 
@@ -117,13 +117,13 @@
       signal: call.signal === undefined ? timeout : AbortSignal.any([timeout, call.signal]),
     });
     const text = await response.body.text();
-    return readAnswer(call, response.statusCode, text);
+    return readResponse(call, response.statusCode, text);
   } catch (cause) {
     return err(lostAnswer(call.method, cause));
   }
 }
 
-function readAnswer<Value>(
+function readResponse<Value>(
   call: HttpCall<Value>,
   status: number,
   text: string,
--- a/packages/objects/src/httpPlatformSchema.ts
+++ b/packages/objects/src/httpPlatformSchema.ts
@@ -1,4 +1,4 @@
-/** Wire format of the platform's HTTP interface: paths and bodies, checked on arrival. */
+/** Wire format of the platform's HTTP interface: paths, and schemas that validate bodies on receipt. */
 import * as z from 'zod';
 import { listedInstanceSchema } from '@bluebellhitch/protocol';
 import type { ObjectKind } from './platformApi';
@@ -40,12 +40,12 @@
 export const platformInstanceSchema = listedInstanceSchema;
 export const platformInstancesSchema = z.array(platformInstanceSchema);
 
-/** Body of `POST` and `PUT` of an object. */
+/** Body of a `POST` or `PUT` request for an object. */
 export const writeBodySchema = z.object({ value: z.unknown() });
 
 /**
- * Body of an answer that is not 2xx. The platform itself says so, so `unavailable` here certainly
- * had no effect.
+ * Body of a response whose status is not 2xx. The platform itself reports the failure, so a call that
+ * ended with `unavailable` here certainly had no effect.
  */
 export const platformErrorSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('conflict'), current: storedObjectSchema.optional() }),
--- a/packages/objects/src/index.ts
+++ b/packages/objects/src/index.ts
@@ -29,7 +29,7 @@
   type ClaimOutcome,
   type ClaimState,
   type ClaimStore,
-  type TakeClaim,
+  type ClaimRequest,
 } from './claimApi';
 export { createClaimStore, type ClaimStoreOptions } from './claimStore';
 export {
--- a/packages/objects/src/platformApi.ts
+++ b/packages/objects/src/platformApi.ts
@@ -1,32 +1,32 @@
 /**
- * The platform's services as the system sees them. One implementation talks HTTP; another platform's
- * wire format is a change of that one file.
+ * Interface of the platform's services. `httpPlatformClient.ts` implements it over HTTP; supporting
+ * another platform's wire format means replacing only that file.
  */
 import type { ResultAsync } from 'neverthrow';
 import type { ListedInstance, StorePosition } from '@bluebellhitch/protocol';
 
-/** Kinds of objects that the system keeps on the platform. */
+/** Kinds of objects that the system stores on the platform. */
 export const objectKinds = {
-  /** Written by operators, one a service. */
+  /** Written by operators, one per service. */
   document: 'document',
-  /** The accepted form of a document; its generation never goes down. */
+  /** The accepted form of a document; its generation never decreases. */
   accepted: 'accepted',
   /** Findings and progress for operators. */
   status: 'status',
   /** At-most-once claims. */
   claim: 'claim',
-  /** Leases of duties that need one holder at a time. */
+  /** Leases of duties that may have only one holder at a time. */
   lease: 'lease',
   /** Fingerprints of requests that crash backend servers. */
   quarantine: 'quarantine',
   /** Routes and services in force, written by operators. */
   configuration: 'configuration',
-  /** Backend servers; each writes its own entry. */
+  /** Backend servers; each writes its own object. */
   backendServer: 'backend-server',
 } as const;
 export type ObjectKind = (typeof objectKinds)[keyof typeof objectKinds];
 
-/** An object and its version. Versions of one object increase with each write, and with each era of the platform. */
+/** An object and its version. The version increases with each write and with each era of the platform. */
 export interface StoredObject {
   kind: ObjectKind;
   key: string;
@@ -35,13 +35,13 @@
 }
 
 export type PlatformError =
-  /** The condition did not hold; `current` is what is there, where the platform told. */
+  /** The condition did not hold; `current` is the stored object, if the platform returned it. */
   | { kind: 'conflict'; current?: StoredObject }
   | { kind: 'not-found' }
   | { kind: 'rate-limited'; retryAfterMs: number }
   /** The call certainly had no effect. */
   | { kind: 'unavailable'; detail: string }
-  /** The answer was lost: a write may or may not have taken effect. */
+  /** The response was lost: a write may or may not have taken effect. */
   | { kind: 'unknown-outcome'; detail: string }
   | { kind: 'rejected'; detail: string };
 
@@ -50,26 +50,26 @@
 
 export interface WatchReply {
   events: WatchEvent[];
-  /** Pass to the next call. */
+  /** Cursor for the next call. */
   cursor: string;
-  /** The platform no longer has the events since the given cursor, or has come back from an older copy: list again. */
+  /** The events since the given cursor are gone, or the platform was restored from a backup: list again. */
   compacted: boolean;
 }
 
 export interface ObjectList {
   objects: StoredObject[];
-  /** Position to watch from. */
+  /** Cursor from which to watch. */
   cursor: string;
 }
 
 /** One entry of the list of instances. */
 export type PlatformInstance = ListedInstance;
 
-/** Objects with versions, conditional writes and watches. */
+/** Access to versioned objects, with conditional writes and watches. */
 export interface ObjectApi {
   get(kind: ObjectKind, key: string): ResultAsync<StoredObject, PlatformError>;
   list(kind: ObjectKind): ResultAsync<ObjectList, PlatformError>;
-  /** Fails with `conflict` where the object exists. */
+  /** Fails with `conflict` if the object exists. */
   create(kind: ObjectKind, key: string, value: unknown): ResultAsync<StoredObject, PlatformError>;
   /** Fails with `conflict` unless the object has `version`. */
   update(
@@ -79,7 +79,7 @@
     value: unknown,
   ): ResultAsync<StoredObject, PlatformError>;
   remove(kind: ObjectKind, key: string, version: StorePosition): ResultAsync<void, PlatformError>;
-  /** Long poll: answers once there are events after `cursor`, or after `waitMs` with none. */
+  /** Long poll: returns once there are events after `cursor`, or without events after `waitMs`. */
   watch(
     kind: ObjectKind,
     cursor: string,
@@ -89,6 +89,6 @@
 }
 
 export interface PlatformApi extends ObjectApi {
-  /** The list of instances; it lags. */
+  /** The list of instances; it may be out of date. */
   instances(): ResultAsync<PlatformInstance[], PlatformError>;
 }
