--- a/packages/routing/__tests__/configurationProof.test.ts
+++ b/packages/routing/__tests__/configurationProof.test.ts
@@ -6,11 +6,11 @@
 
 interface Pair {
   clock: Clock;
-  /** Looks at the platform itself. */
+  /** Calls the platform itself. */
   follower: ConfigurationProof;
   /** Asks the follower. */
   router: ConfigurationProof;
-  /** Datagrams on their way, to be delivered by the test. */
+  /** Sent datagrams that the test has yet to deliver. */
   toFollower: Buffer[];
   toRouter: Buffer[];
   deliver(): void;
@@ -19,13 +19,13 @@
 interface PairOptions {
   follower?: number;
   router?: number;
-  /** It has started at the same moment as the router; otherwise it has been there for long. */
+  /** Whether it starts at the same time as the router; by default it has been running for `establishedMs`. */
   isFollowerNew?: boolean;
 }
 
-const longBeforeMs = 5_000;
+const establishedMs = 5_000;
 
-/** Two routers, by the versions of their configurations; what they send waits until the test delivers it. */
+/** Creates two routers with these revisions and configuration versions; the test delivers their datagrams. */
 function withPair(
   revisions: { follower: number; router: number },
   check: (pair: Pair) => void,
@@ -60,12 +60,12 @@
   });
   if (!isFollowerNew) {
     follower.ask();
-    clock.tick(longBeforeMs);
+    clock.tick(establishedMs);
   }
   const router = make('10.0.0.2:7000', toFollower, ['10.0.0.1:7000'], {
     ...{ revision: revisions.router, version: versions.router ?? 1 },
   });
-  const pass = (bytes: Buffer[], to: ConfigurationProof) =>
+  const deliverTo = (bytes: Buffer[], to: ConfigurationProof) =>
     bytes.splice(0).forEach((one) => {
       const message = decodeProofMessage(one);
       if (message !== undefined) {
@@ -73,8 +73,8 @@
       }
     });
   const deliver = () => {
-    pass(toFollower, follower);
-    pass(toRouter, router);
+    deliverTo(toFollower, follower);
+    deliverTo(toRouter, router);
   };
   try {
     check({ clock, follower, router, toFollower, toRouter, deliver });
@@ -83,10 +83,10 @@
   }
 }
 
-const same = { follower: 5, router: 5 };
+const sameRevisions = { follower: 5, router: 5 };
 
-test('nothing is proved before a call or a word of another', (t) => {
-  withPair(same, ({ router, follower, deliver }) => {
+test('there is no proof before a call to the platform or an answer from another router', (t) => {
+  withPair(sameRevisions, ({ router, follower, deliver }) => {
     router.ask();
     deliver();
     t.is(router.ageMs(), Infinity);
@@ -94,8 +94,8 @@
   });
 });
 
-test('a call proves from its beginning, however late its answer is read', (t) => {
-  withPair(same, ({ clock, follower }) => {
+test('a proof counts from the start of the call, however late its answer is read', (t) => {
+  withPair(sameRevisions, ({ clock, follower }) => {
     const begun = readClocks();
     clock.tick(3_000);
     follower.noteProved(begun, 1);
@@ -103,10 +103,10 @@
   });
 });
 
-test('another’s word counts from the question, however long the answer was on its way', (t) => {
-  // A key that was taken away would open at a router that stood still with an answer in its buffer. The router asks,
-  // is answered at once, and reads the answer 4 s later.
-  withPair(same, ({ clock, follower, router, deliver }) => {
+test('a proof from another router counts from the question, however long the answer was in transit', (t) => {
+  // Otherwise a revoked key is accepted by a router that was suspended with an answer in its buffer: it asks, is
+  // answered at once, and reads the answer 4 s later.
+  withPair(sameRevisions, ({ clock, follower, router, deliver }) => {
     follower.noteProved(earlierBy(readClocks(), 700), 1);
     router.ask();
     clock.tick(4_000);
@@ -115,14 +115,14 @@
   });
 });
 
-test('a word that no question asked for, or that comes twice as another’s, proves nothing', (t) => {
-  withPair(same, ({ router }) => {
+test('an answer without a matching question proves nothing', (t) => {
+  withPair(sameRevisions, ({ router }) => {
     router.receive({ kind: 'answer', number: 1, revision: 5, ageMs: 0 });
     t.is(router.ageMs(), Infinity);
   });
 });
 
-test('one that has seen more proves nothing for what is known here', (t) => {
+test('an answer with a newer revision proves nothing about the revision known here', (t) => {
   withPair({ follower: 6, router: 5 }, ({ follower, router, deliver }) => {
     follower.noteProved(readClocks(), 1);
     router.ask();
@@ -131,9 +131,9 @@
   });
 });
 
-test('a router passes on no proof but its own', (t) => {
-  // Two routers that are cut off from the platform would keep each other fresh for ever.
-  withPair(same, ({ clock, follower, router, toRouter, deliver }) => {
+test('a router passes on only proofs from its own calls', (t) => {
+  // Otherwise two routers partitioned from the platform renew each other's proofs for ever.
+  withPair(sameRevisions, ({ clock, follower, router, toRouter, deliver }) => {
     follower.noteProved(readClocks(), 1);
     router.ask();
     deliver();
@@ -144,8 +144,8 @@
   });
 });
 
-test('a step of the time of day, or a suspension of the machine, undoes the proof', (t) => {
-  withPair(same, ({ clock, follower }) => {
+test('a step of the system clock, or a suspension of the machine, invalidates the proof', (t) => {
+  withPair(sameRevisions, ({ clock, follower }) => {
     follower.noteProved(readClocks(), 1);
     clock.setSystemTime(Date.now() + 6_000);
     t.is(follower.ageMs(), Infinity);
@@ -154,8 +154,8 @@
   });
 });
 
-test('a configuration that cannot be used proves nothing until the next', (t) => {
-  withPair(same, ({ follower, router, deliver }) => {
+test('an unusable configuration proves nothing until the next usable one', (t) => {
+  withPair(sameRevisions, ({ follower, router, deliver }) => {
     follower.noteUnusable(true);
     follower.noteProved(readClocks(), 1);
     router.ask();
@@ -169,9 +169,9 @@
 
 const laterEra = { follower: storePosition(1, 3), router: storePosition(1, 3) };
 
-test('a call that shows an older configuration than the one in force proves nothing', (t) => {
-  // The store is back from a copy that still has a key that was taken away.
-  withPair(same, ({ follower }) => {
+test('a call that returns an older configuration than the one in force proves nothing', (t) => {
+  // The store was restored from a backup that still contains a revoked key.
+  withPair(sameRevisions, ({ follower }) => {
     follower.noteProved(readClocks(), 0);
     t.is(follower.ageMs(), Infinity);
     follower.noteProved(readClocks(), 1);
@@ -179,14 +179,14 @@
   });
 });
 
-test('a router that has started since the store came back learns that it has an older configuration', (t) => {
-  // It knows the copy only, and a key that it shows may have been taken away. The router that it asks knows better, and
-  // has no proof of its own in this era.
+test('a router that has started since the store was restored learns that its configuration is older', (t) => {
+  // It knows only the backup's configuration, whose keys may have been revoked. The router that it asks has a newer
+  // one, but no proof of its own in this era.
   withPair(
     laterEra,
     ({ clock, router, deliver }) => {
       router.noteProved(readClocks(), 1);
-      t.is(router.ageMs(), Infinity, 'others have had no time to tell');
+      t.is(router.ageMs(), Infinity, 'others have had no time to answer');
       router.ask();
       deliver();
       t.is(router.ageMs(), Infinity);
@@ -203,9 +203,9 @@
   });
 });
 
-test('routers that have both started since the store came back do not confirm its copy to each other', (t) => {
-  // Both gave 401 for keys in force for up to 0.9 s: all routers had restarted while the store was away, each knew its copy
-  // only, and took the other's word that it had nothing newer for that of one that had been there before.
+test('routers that have both started since the restore do not confirm the backup to each other', (t) => {
+  // Both answered 401 to valid keys for up to 0.9 s: all routers had restarted during the outage of the store, each
+  // knew only the backup, and each took the other for a router that had been running before.
   withPair(
     laterEra,
     ({ clock, follower, router, deliver }) => {
@@ -214,7 +214,7 @@
       deliver();
       t.is(router.ageMs(), Infinity);
       t.is(follower.ageMs(), Infinity);
-      // Nobody who knew better has been heard: there may be nobody.
+      // No router with a newer configuration has answered in time: there may be none.
       clock.tick(1_600);
       t.is(router.ageMs(), 1_600);
     },
@@ -222,9 +222,10 @@
   );
 });
 
-test('a router that has heard of a newer configuration is no witness for the copy that it has itself', (t) => {
-  // 401 for keys in force, on a busy machine: two routers had just started, and one of them had heard from a third, which was
-  // about to stop, of configuration 12. It answered the other, with configuration 1, before that one had heard the third.
+test('a router that knows of a newer configuration does not confirm the backup that it has itself', (t) => {
+  // Valid keys got 401 on a busy machine: two routers had just started, and one of them had learned of configuration
+  // 12 from a third, which was about to stop. It answered the other with configuration 1, before the other had an
+  // answer from the third.
   const clock = FakeTimers.install({ now: 1e12, toFake: ['setTimeout', 'Date', 'performance'] });
   try {
     const sent: { bytes: Buffer; to: readonly string[] }[] = [];
@@ -246,12 +247,12 @@
     };
     const stopping = make('10.0.0.1:7000', [], 12);
     stopping.ask();
-    clock.tick(longBeforeMs);
-    const between = make('10.0.0.2:7000', ['10.0.0.1:7000'], 1);
+    clock.tick(establishedMs);
+    const middle = make('10.0.0.2:7000', ['10.0.0.1:7000'], 1);
     const last = make('10.0.0.3:7000', ['10.0.0.2:7000'], 1);
     const routers = new Map([
       ['10.0.0.1:7000', stopping],
-      ['10.0.0.2:7000', between],
+      ['10.0.0.2:7000', middle],
       ['10.0.0.3:7000', last],
     ]);
     const deliverAll = () =>
@@ -259,11 +260,11 @@
         const message = decodeProofMessage(bytes);
         to.forEach((address) => message && routers.get(address)?.receive(message));
       });
-    [between, last].forEach((one) => one.noteProved(readClocks(), 1));
-    between.ask();
+    [middle, last].forEach((one) => one.noteProved(readClocks(), 1));
+    middle.ask();
     deliverAll();
     deliverAll();
-    t.is(between.ageMs(), Infinity);
+    t.is(middle.ageMs(), Infinity);
     clock.tick(200);
     last.ask();
     deliverAll();
@@ -274,7 +275,7 @@
   }
 });
 
-test('what was proved before the store came back is no proof for others', (t) => {
+test('a proof from before the store was restored is not passed on', (t) => {
   withPair(laterEra, ({ follower, router, deliver }) => {
     follower.noteProved(readClocks(), 1);
     follower.noteEraRisen();
@@ -305,10 +306,10 @@
   );
 });
 
-test('a router that had no store for long asks others before it believes the copy', (t) => {
-  // It gave 401 for keys in force, for half a second: it started while the store was away, and when that came back from a
-  // copy 9.7 s old, the time to listen to others was over before it had asked anybody. In its log: configuration 4 in
-  // force at 45.06 s, 21 at 45.50 s, and between them 401 for keys of version 15.
+test('a router that waited long for the store asks others before it relies on the backup', (t) => {
+  // It answered 401 to valid keys for half a second. It had started during an outage of the store; when the store was
+  // restored from a backup 9.7 s old, the time to wait for answers was over before it had asked any router. Its log
+  // showed configuration 4 in force at 45.06 s, 21 at 45.50 s, and between them 401 for keys of version 15.
   withPair(
     laterEra,
     ({ clock, router, deliver }) => {
@@ -325,10 +326,10 @@
   );
 });
 
-test('a newer configuration elsewhere leaves what was proved before it', (t) => {
-  // Keys would be refused with each change, for as long as a large configuration is on its way.
+test('a newer configuration elsewhere does not invalidate proofs from before it', (t) => {
+  // Otherwise every change causes keys to be refused for as long as a large configuration is in transit.
   withPair(
-    same,
+    sameRevisions,
     ({ clock, follower, router, deliver }) => {
       router.noteProved(readClocks(), 1);
       deliver();
@@ -338,7 +339,7 @@
       deliver();
       t.is(router.ageMs(), 300);
       router.noteProved(readClocks(), 1);
-      t.is(router.ageMs(), 300, 'a call that does not show it proves nothing');
+      t.is(router.ageMs(), 300, 'a call that does not return it proves nothing');
       router.noteConfiguration(2);
       router.noteProved(readClocks(), 2);
       t.is(router.ageMs(), 0);
@@ -347,7 +348,7 @@
   );
 });
 
-test('a call that began after another router knew better was answered from an older copy', (t) => {
+test('a call that started after another router had a newer version was answered from a backup', (t) => {
   withPair(
     laterEra,
     ({ clock, router, deliver }) => {
--- a/packages/routing/__tests__/objectFollower.test.ts
+++ b/packages/routing/__tests__/objectFollower.test.ts
@@ -22,7 +22,7 @@
   log: string[];
 }
 
-/** A store whose watches answer as the test says, by their number. */
+/** A store whose nth watch gives the answer that the test returns for n. */
 function scriptedStore(
   answer: (watch: number) => 'fail' | WatchReply,
 ): Script & { api: ObjectApi } {
@@ -34,12 +34,12 @@
     },
     watch(_kind: unknown, _cursor: unknown, waitMs: number, signal?: AbortSignal) {
       script.watchWaitsMs.push(waitMs);
-      const said = answer(script.watchWaitsMs.length);
+      const answered = answer(script.watchWaitsMs.length);
       const result: Result<WatchReply, PlatformError> =
-        said === 'fail' ? err({ kind: 'unavailable', detail: 'down' }) : ok(said);
+        answered === 'fail' ? err({ kind: 'unavailable', detail: 'down' }) : ok(answered);
       return new ResultAsync(
         new Promise<typeof result>((resolve) => {
-          setTimeout(() => resolve(result), said === 'fail' ? 10 : waitMs);
+          setTimeout(() => resolve(result), answered === 'fail' ? 10 : waitMs);
           const aborted = { kind: 'unavailable', detail: 'aborted' } as const;
           signal?.addEventListener('abort', () => resolve(err(aborted)));
         }),
@@ -79,26 +79,26 @@
 }
 
 test.serial('the first watch after an outage does not wait', async (t) => {
-  // A caller is sent to a server that left. The store was away; the watch that follows waits for an event
-  // and its answer, a removal, is taken for the moment of the return, so that the removal is held back
-  // for as long as after an outage. The return must be noticed by itself.
+  // Otherwise requests are sent to a server that has left. If the first watch after the outage waits for an event, the
+  // removal that it returns coincides with the recovery and is delayed like one caused by the outage. The recovery must
+  // therefore be detected separately.
   const script = scriptedStore((watch) => (watch === 2 ? 'fail' : reply()));
   await follow(script, 3_000);
   t.deepEqual(script.watchWaitsMs.slice(0, 4), [1_800, 1_800, 1, 1_800]);
   t.deepEqual(script.log.slice(0, 4), ['back', 'listed', 'lost', 'back']);
 });
 
-test.serial('a dropped history is followed by a new list', async (t) => {
+test.serial('a compacted history is followed by a new list', async (t) => {
   const script = scriptedStore((watch) => reply({ compacted: watch === 1 }));
   await follow(script, 3_000);
   t.true(script.lists >= 2);
 });
 
 test.serial(
-  'a watch whose connection went silent is given up once a peer has seen more',
+  'a watch on a dead connection is aborted once a peer has seen a newer revision',
   async (t) => {
-    // A caller gets 404 for a route that was added. The connection of a long watch has gone silent; another
-    // router has seen the new configuration and says so.
+    // Otherwise callers get 404 for a new route: the connection of a long watch is dead, while another router has seen
+    // the new configuration and reports its revision.
     const script = scriptedStore(() => reply());
     await follow(script, 500, (follower) => follower.noteRevisionElsewhere(9));
     t.deepEqual(script.watchWaitsMs.slice(0, 2), [1_800, 1]);
@@ -106,26 +106,26 @@
   },
 );
 
-test.serial('a revision that is known already changes nothing', async (t) => {
+test.serial('a peer revision that is already known changes nothing', async (t) => {
   const script = scriptedStore(() => reply());
   await follow(script, 500, (follower) => follower.noteRevisionElsewhere(0));
   t.deepEqual(script.watchWaitsMs, [1_800]);
 });
 
-test('a long answer is not given up because other processes have it already', async (t) => {
-  // Callers of this router would get 404 for new routes. Its link is thin and the new configuration large: the
-  // answer takes two seconds. Peers with thicker links have it and say so each second; each time the router
-  // would give its call up and begin anew, and never have the configuration.
+test('a slow answer is not aborted because peers have it already', async (t) => {
+  // Otherwise callers of this router get 404 for new routes. On its slow link the large new configuration takes two
+  // seconds. Peers with faster links report the newer revision every second; if the router aborted and restarted its
+  // call each time, it would never receive the configuration.
   const slowMs = 2_000;
   const script = scriptedStore(() => reply());
   const waits: number[] = [];
   let isSlow = false;
   script.api.watch = (_kind: unknown, _cursor: unknown, waitMs: number, signal?: AbortSignal) => {
     waits.push(waitMs);
-    const said = isSlow ? reply({ cursor: '9', events: [putOf(9)] }) : reply();
+    const answered = isSlow ? reply({ cursor: '9', events: [putEvent(9)] }) : reply();
     return new ResultAsync(
       new Promise<Result<WatchReply, PlatformError>>((resolve) => {
-        setTimeout(() => resolve(ok(said)), isSlow ? slowMs : waitMs);
+        setTimeout(() => resolve(ok(answered)), isSlow ? slowMs : waitMs);
         signal?.addEventListener('abort', () =>
           resolve(err({ kind: 'unavailable', detail: 'aborted' })),
         );
@@ -134,19 +134,19 @@
   };
   await follow(script, 4_000, (follower) => {
     isSlow = true;
-    const tell = () => {
+    const reportRevision = () => {
       follower.noteRevisionElsewhere(9);
       if (script.log.includes('put')) {
         return;
       }
-      setTimeout(tell, 1_000);
+      setTimeout(reportRevision, 1_000);
     };
-    tell();
+    reportRevision();
   });
   t.true(script.log.includes('put'), `calls: ${waits.join(', ')}`);
 });
 
-function putOf(version: number): WatchReply['events'][number] {
+function putEvent(version: number): WatchReply['events'][number] {
   const kind = objectKinds.backendServer;
   return { kind: 'put', object: { kind, key: 'w1', version, value: {} } };
 }
--- a/packages/routing/__tests__/toldChanges.test.ts
+++ b/packages/routing/__tests__/relayedChanges.test.ts
@@ -15,14 +15,18 @@
 } from '@bluebellhitch/routing';
 
 const kind = objectKinds.backendServer;
-const newsLifetimeMs = 3_000;
+const relayTimeoutMs = 3_000;
 
 const put = (key: string, version: number): WatchEvent => ({
   kind: 'put',
   object: { kind, key, version, value: {} },
 });
 
-const told = (fromRevision: number, toRevision: number, over: Partial<SeenChanges> = {}) => ({
+const relayedChanges = (
+  fromRevision: number,
+  toRevision: number,
+  over: Partial<SeenChanges> = {},
+) => ({
   fromRevision,
   toRevision,
   changes: [{ kind: 'put' as const, key: 'w1', revision: toRevision, value: {} }],
@@ -30,7 +34,7 @@
   ...over,
 });
 
-/** A store at revision 10 that answers each watch with what has been put into `events`. */
+/** A store at revision 10 that answers each watch with the events recorded by `change`. */
 function createStore() {
   const events: WatchEvent[] = [];
   const calls: string[] = [];
@@ -69,37 +73,37 @@
   };
 }
 
-interface Told {
+interface World {
   store: ReturnType<typeof createStore>;
   clock: Clock;
   follower: ObjectFollower;
   events: string[];
-  returns: number[];
+  recoveries: number[];
 }
 
-/** A follower that leaves the watching to others, and has listed. */
-async function followToldByOthers(during: (world: Told) => Promise<void>): Promise<void> {
+/** Runs the test with a follower that leaves the watching to relays and has completed its list. */
+async function followWithRelays(during: (world: World) => Promise<void>): Promise<void> {
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] });
   try {
     const store = createStore();
     const events: string[] = [];
-    const returns: number[] = [];
+    const recoveries: number[] = [];
     const follower = createObjectFollower({
       store: store.api,
       kind,
       watchWaitMs: () => 1_800,
       isToldByOthers: () => true,
-      newsLifetimeMs: () => newsLifetimeMs,
+      newsLifetimeMs: () => relayTimeoutMs,
       onListed: () => undefined,
       onEvent: (event) =>
         events.push(event.kind === 'put' ? `put ${event.object.key}` : `removed ${event.key}`),
       onLost: () => undefined,
-      onBack: (agoMs) => returns.push(agoMs),
+      onBack: (agoMs) => recoveries.push(agoMs),
       random: () => 0,
     });
     follower.start();
     await clock.tickAsync(100);
-    await during({ store, clock, follower, events, returns });
+    await during({ store, clock, follower, events, recoveries });
     const stopped = follower.stop();
     await clock.tickAsync(10_000);
     await stopped;
@@ -108,10 +112,10 @@
   }
 }
 
-test.serial('what others tell is taken without a call', async (t) => {
-  await followToldByOthers(async ({ store, clock, follower, events }) => {
+test.serial('relayed changes are applied without a call to the store', async (t) => {
+  await followWithRelays(async ({ store, clock, follower, events }) => {
     for (let revision = 10; revision < 40; revision += 1) {
-      follower.noteTold(told(revision, revision + 1));
+      follower.noteTold(relayedChanges(revision, revision + 1));
       await clock.tickAsync(1_000);
     }
     t.is(events.length, 30);
@@ -119,69 +123,75 @@
   });
 });
 
-test.serial('a change told by several is taken once', async (t) => {
-  await followToldByOthers(async ({ follower, events }) => {
-    follower.noteTold(told(10, 12));
-    follower.noteTold(told(10, 12));
-    follower.noteTold(told(9, 12));
+test.serial('a change relayed by several peers is applied once', async (t) => {
+  await followWithRelays(async ({ follower, events }) => {
+    follower.noteTold(relayedChanges(10, 12));
+    follower.noteTold(relayedChanges(10, 12));
+    follower.noteTold(relayedChanges(9, 12));
     t.deepEqual(events, ['put w1']);
     return Promise.resolve();
   });
 });
 
-test.serial('a message that was lost is made up for by one call', async (t) => {
-  // A caller is sent to a server that left: the datagram that told of it was lost. The next one covers later changes
-  // only, so the router knows that it has missed some, and asks.
-  await followToldByOthers(async ({ store, clock, follower, events }) => {
+test.serial('one call makes up for a lost message', async (t) => {
+  // Otherwise requests are sent to a server that has left, as the datagram with its removal was lost. The next datagram
+  // covers only later changes, so the router detects the gap and calls the store.
+  await followWithRelays(async ({ store, clock, follower, events }) => {
     store.change(put('w1', 12), 12);
     store.change(put('w2', 15), 15);
-    follower.noteTold(told(13, 15));
+    follower.noteTold(relayedChanges(13, 15));
     await clock.tickAsync(400);
     t.deepEqual(store.calls, ['list', 'watch 10']);
     t.deepEqual(events, ['put w1', 'put w2']);
   });
 });
 
-test.serial('a router that hears nothing for a moment follows for itself', async (t) => {
-  // A caller would be sent to a server that left: the routers that watch were killed, and nobody tells of it.
-  await followToldByOthers(async ({ store, clock, events }) => {
-    await clock.tickAsync(2_000);
-    store.change(put('w1', 12), 12);
-    await clock.tickAsync(newsLifetimeMs);
-    t.deepEqual(store.calls.slice(0, 2), ['list', 'watch 10']);
-    t.deepEqual(events, ['put w1']);
-  });
-});
+test.serial(
+  'a router without relayed changes for the relay timeout watches for itself',
+  async (t) => {
+    // Otherwise requests are sent to a server that has left: the relays were killed, and nobody relays its removal.
+    await followWithRelays(async ({ store, clock, events }) => {
+      await clock.tickAsync(2_000);
+      store.change(put('w1', 12), 12);
+      await clock.tickAsync(relayTimeoutMs);
+      t.deepEqual(store.calls.slice(0, 2), ['list', 'watch 10']);
+      t.deepEqual(events, ['put w1']);
+    });
+  },
+);
 
-test.serial('old news of a router that stood still do not count as new', async (t) => {
-  // A caller would be sent to a server that left: a router tells again and again what it saw long ago, and the others
-  // would take its word for the state of now.
-  await followToldByOthers(async ({ store, clock, follower }) => {
+test.serial('outdated changes from a suspended router do not count as current', async (t) => {
+  // Otherwise requests are sent to a server that has left: a router keeps relaying what it saw long ago, and the others
+  // take that for the current state.
+  await followWithRelays(async ({ store, clock, follower }) => {
     store.change(put('w1', 12), 12);
     for (let round = 0; round < 6; round += 1) {
-      follower.noteTold(told(8, 9));
-      follower.noteTold(told(10, 10, { changes: [], ageMs: 5_000 }));
+      follower.noteTold(relayedChanges(8, 9));
+      follower.noteTold(relayedChanges(10, 10, { changes: [], ageMs: 5_000 }));
       await clock.tickAsync(1_000);
     }
     t.true(store.calls.includes('watch 10'));
   });
 });
 
-test.serial('removals told right after an outage count as seen then', async (t) => {
-  // Callers would be refused though all servers are alive: their entries lapsed while the store was away, and this
-  // router, which made no call, would not know of the outage and drop them at once.
-  await followToldByOthers(async ({ clock, follower, returns }) => {
-    await clock.tickAsync(500);
-    follower.noteTold(told(10, 12, { backAgeMs: 300 }));
-    follower.noteTold(told(12, 13, { backAgeMs: 300 }));
-    t.deepEqual(returns, [0, 300]);
-  });
-});
+test.serial(
+  'removals relayed right after an outage are treated like removals observed then',
+  async (t) => {
+    // Otherwise callers are refused although all servers are running: their entries expired while the store was
+    // unavailable, and this router, which made no call, does not know of the outage and removes them at once.
+    await followWithRelays(async ({ clock, follower, recoveries }) => {
+      await clock.tickAsync(500);
+      follower.noteTold(relayedChanges(10, 12, { backAgeMs: 300 }));
+      follower.noteTold(relayedChanges(12, 13, { backAgeMs: 300 }));
+      t.deepEqual(recoveries, [0, 300]);
+    });
+  },
+);
 
-test.serial('a removal that is told of with older changes is taken in its order', async (t) => {
-  // A server that was removed and came back would be lost, or one that left would stay.
-  await followToldByOthers(async ({ follower, events }) => {
-    follower.noteTold(told(10, 12));
+test.serial('a removal that is relayed with older changes is applied in order', async (t) => {
+  // Otherwise a server that was removed and registered again is missing, or one that has left remains.
+  await followWithRelays(async ({ follower, events }) => {
+    follower.noteTold(relayedChanges(10, 12));
     const changes: SeenChanges['changes'] = [
       { kind: 'removed', key: 'w1', revision: 9 },
       { kind: 'put', key: 'w1', revision: 12, value: {} },
@@ -193,11 +203,11 @@
   });
 });
 
-test.serial('the platform is asked now and then although others tell enough', async (t) => {
-  // A router that tells too little would otherwise never be found out.
-  await followToldByOthers(async ({ store, clock, follower }) => {
+test.serial('the store is called periodically even if relayed changes suffice', async (t) => {
+  // Otherwise a relay that omits changes is never detected.
+  await followWithRelays(async ({ store, clock, follower }) => {
     for (let second = 0; second < 70; second += 1) {
-      follower.noteTold(told(10, 10, { changes: [] }));
+      follower.noteTold(relayedChanges(10, 10, { changes: [] }));
       await clock.tickAsync(1_000);
     }
     t.deepEqual(store.calls, ['list', 'watch 10']);
@@ -205,10 +215,10 @@
 });
 
 test.serial(
-  'a router that starts tells of no outage; one that saw the store away does',
+  'a starting router reports no recovery; one that has seen an outage of the store does',
   async (t) => {
-    // Callers would be sent to a server that is gone for seconds: a router restarts, tells the others that the store has
-    // just come back, and they hold the removal of the server back as one that an outage has caused.
+    // Otherwise requests are sent to a removed server for seconds: a router restarts and reports that the store has
+    // just recovered, and the others delay the removal as if an outage had caused it.
     const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] });
     try {
       const { api } = createStore();
--- a/packages/routing/__tests__/restoredObjects.test.ts
+++ b/packages/routing/__tests__/restoredObjects.test.ts
@@ -1,6 +1,7 @@
 /**
- * A model: a store that loses its newest writes now and then, routers that follow it, two of which tell the rest, and
- * datagrams that are lost, late, repeated and overtaken. Once all is quiet, every router knows what the store has.
+ * Model-based test: a store that sometimes loses its newest writes, routers that follow it, two of which relay changes
+ * to the others, and datagrams that are lost, delayed, duplicated and reordered. Once no more changes are made, every
+ * router must know what the store contains.
  */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers';
 import test from 'ava';
@@ -20,13 +21,13 @@
 
 const kind = objectKinds.backendServer;
 const routerCount = 5;
-const tellingCount = 2;
-const quietMs = 12_000;
+const relayCount = 2;
+const settleMs = 12_000;
 
 type Step =
   | { kind: 'put' | 'remove'; key: number }
-  /** Loses so many of the newest changes; some of them are written again, in any order. */
-  | { kind: 'restore'; lost: number; awayMs: number; again: number }
+  /** Loses the `lost` newest changes; the first `rewritten` of these are written again, in reverse order. */
+  | { kind: 'restore'; lost: number; outageMs: number; rewritten: number }
   | { kind: 'compact' }
   | { kind: 'cut'; router: number; forMs: number }
   | { kind: 'wait'; forMs: number };
@@ -40,8 +41,8 @@
     arbitrary: fc.record({
       kind: fc.constant('restore' as const),
       lost: fc.integer({ min: 0, max: 8 }),
-      awayMs: fc.constantFrom(0, 0, 300, 2_000),
-      again: fc.integer({ min: 0, max: 8 }),
+      outageMs: fc.constantFrom(0, 0, 300, 2_000),
+      rewritten: fc.integer({ min: 0, max: 8 }),
     }),
   },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('compact' as const) }) },
@@ -68,14 +69,14 @@
   value?: number;
 }
 
-/** The store itself, without its wire. */
+/** The store itself, without its protocol. */
 function createModelStore() {
   let era = 0;
   let revision = 0;
   let nextValue = 0;
   let oldest = 0;
   let changes: Change[] = [];
-  let awayUntilMs = -Infinity;
+  let outageUntilMs = -Infinity;
   const waiting = new Set<() => void>();
 
   function write(name: string, value: number | undefined): void {
@@ -97,7 +98,7 @@
 
   return {
     era: () => era,
-    isAway: () => performance.now() < awayUntilMs,
+    isUnavailable: () => performance.now() < outageUntilMs,
     position: () => storePosition(era, revision),
     objects,
     waiting,
@@ -111,16 +112,16 @@
     compact() {
       oldest = revision;
     },
-    restore(lost: number, awayMs: number, again: number) {
-      const kept = Math.max(0, changes.length - lost);
-      const gone = changes.slice(kept);
-      changes = changes.slice(0, kept);
+    restore(lost: number, outageMs: number, rewritten: number) {
+      const keptCount = Math.max(0, changes.length - lost);
+      const lostChanges = changes.slice(keptCount);
+      changes = changes.slice(0, keptCount);
       revision = changes.at(-1)?.revision ?? 0;
       oldest = Math.min(oldest, revision);
       era += 1;
-      awayUntilMs = performance.now() + awayMs;
-      gone
-        .slice(0, again)
+      outageUntilMs = performance.now() + outageMs;
+      lostChanges
+        .slice(0, rewritten)
         .reverse()
         .forEach((change) => write(change.key, change.value));
     },
@@ -129,7 +130,7 @@
 
 type ModelStore = ReturnType<typeof createModelStore>;
 
-/** The client of one router: what it sees of the era is in the answers that it reads. */
+/** The store client of one router: it learns of a new era only from the answers that it reads. */
 function clientOf(store: ModelStore, isCut: () => boolean, random: Random): ObjectApi {
   let latestEra = 0;
   const down: PlatformError = { kind: 'unavailable', detail: 'down' };
@@ -143,8 +144,9 @@
       new Promise<Result<Value, PlatformError>>((resolve) => {
         signal?.addEventListener('abort', () => resolve(err(down)));
         setTimeout(() => {
-          const said = store.isAway() || isCut() ? err<Value, PlatformError>(down) : read();
-          setTimeout(() => resolve(said), delayMs());
+          const answered =
+            store.isUnavailable() || isCut() ? err<Value, PlatformError>(down) : read();
+          setTimeout(() => resolve(answered), delayMs());
         }, delayMs());
       }),
     );
@@ -215,7 +217,7 @@
   const routers: ModelRouter[] = [];
   const isCut = (index: number) => performance.now() < (routers[index]?.cutUntilMs ?? 0);
 
-  /** Some datagrams are lost, some come twice, and each takes its own time. */
+  /** Some datagrams are lost, some are duplicated, and each has its own delay. */
   function send(from: number, deliver: (to: ObjectFollower) => void): void {
     routers.forEach(({ follower }, to) => {
       const copies = to === from || random() < 0.2 ? 0 : 1 + Number(random() < 0.2);
@@ -227,12 +229,12 @@
 
   Array.from({ length: routerCount }).forEach((_none, index) => {
     const view = new Map<string, unknown>();
-    const isTelling = index < tellingCount;
+    const isRelay = index < relayCount;
     const follower = createObjectFollower({
       store: clientOf(store, () => isCut(index), random),
       kind,
       watchWaitMs: () => 1_200,
-      isToldByOthers: () => !isTelling,
+      isToldByOthers: () => !isRelay,
       newsLifetimeMs: () => 2_000,
       onListed(objects) {
         view.clear();
@@ -243,7 +245,7 @@
           ? view.set(event.object.key, event.object.value)
           : view.delete(event.key),
       onSeen(told) {
-        if (isTelling) {
+        if (isRelay) {
           send(index, (to) => to.noteTold(told));
         }
       },
@@ -252,16 +254,16 @@
       random,
     });
     routers.push({ follower, view, cutUntilMs: -Infinity });
-    const beat = setInterval(() => {
+    const heartbeat = setInterval(() => {
       const seen = follower.seenRevision();
       send(index, (to) => to.noteRevisionElsewhere(seen));
     }, 1_000);
-    beat.unref();
+    heartbeat.unref();
   });
   return routers;
 }
 
-function play(store: ModelStore, routers: readonly ModelRouter[], step: Step): void {
+function applyStep(store: ModelStore, routers: readonly ModelRouter[], step: Step): void {
   switch (step.kind) {
     case 'put':
       store.put(`s${step.key}`);
@@ -270,7 +272,7 @@
       store.remove(`s${step.key}`);
       break;
     case 'restore':
-      store.restore(step.lost, step.awayMs, step.again);
+      store.restore(step.lost, step.outageMs, step.rewritten);
       break;
     case 'compact':
       store.compact();
@@ -290,10 +292,10 @@
   routers.forEach(({ follower }) => follower.start());
   await clock.tickAsync(300);
   for (const step of steps) {
-    play(store, routers, step);
+    applyStep(store, routers, step);
     await clock.tickAsync(step.kind === 'wait' ? step.forMs : 1);
   }
-  await clock.tickAsync(quietMs);
+  await clock.tickAsync(settleMs);
   const wanted = JSON.stringify(
     [...store.objects().values()].map(({ key: name, value }) => [name, value]).sort(),
   );
@@ -305,7 +307,7 @@
 }
 
 test.serial(
-  'whatever the store loses, all routers know what it has once it is quiet',
+  'whatever the store loses, all routers converge on its content once changes stop',
   async (t) => {
     t.timeout(110_000);
     await fc.assert(
@@ -315,9 +317,9 @@
         async (steps, seed) => {
           const clock = FakeTimers.install();
           try {
-            const wrong = await run(clock, steps, seed);
-            if (wrong.length > 0) {
-              throw new Error(wrong.join('; '));
+            const mismatches = await run(clock, steps, seed);
+            if (mismatches.length > 0) {
+              throw new Error(mismatches.join('; '));
             }
           } finally {
             clock.uninstall();
--- a/packages/routing/__tests__/serverDirectory.test.ts
+++ b/packages/routing/__tests__/serverDirectory.test.ts
@@ -15,7 +15,7 @@
 
 const idsOf = (servers: readonly BackendServer[]) => servers.map(({ id }) => id);
 
-test('servers that drain or are gone are not usable', (t) => {
+test('draining and removed servers are not usable', (t) => {
   const directory = createServerDirectory();
   directory.replaceAll([server('a'), server('b'), server('c', { serviceName: 'other' })]);
   directory.put(server('a', { isDraining: true }));
@@ -25,12 +25,12 @@
   t.deepEqual(idsOf(directory.all()), ['a', 'c']);
 });
 
-test.serial('entries that lapsed in an outage stay until moments after its end', (t) => {
-  // Every request would be refused although all servers are alive. The store was away, their entries lapsed,
-  // and its first list after the return is empty.
+test.serial('entries that expired in an outage are kept for a grace period after it', (t) => {
+  // Otherwise every request is refused although all servers are running: their entries expired while the store was
+  // unavailable, and its first list after the recovery is empty.
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] });
   try {
-    const directory = createServerDirectory({ lapseGraceMs: 2_000 });
+    const directory = createServerDirectory({ expiryGraceMs: 2_000 });
     directory.replaceAll([server('a'), server('b')]);
     directory.storeLost();
     clock.tick(30_000);
@@ -48,7 +48,7 @@
   }
 });
 
-test.serial('a server known to drain is not kept over an outage', (t) => {
+test.serial('a draining server is not kept through an outage', (t) => {
   const directory = createServerDirectory();
   directory.put(server('a', { isDraining: true }));
   directory.storeLost();
@@ -56,40 +56,37 @@
   t.deepEqual(directory.all(), []);
 });
 
-test.serial(
-  'that a server leaves by its own word outlives its entries, and ends with its life',
-  (t) => {
-    // The store is late or away: it lists the server as ready, loses its entry, lists it again, comes back from an older
-    // copy. None of it undoes the word. A later life under the same name has not said it.
-    const directory = createServerDirectory();
-    const entry = (over: Partial<BackendServer> = {}) =>
-      server('a~1', { name: 'a', bornAtMs: 1, entryNumber: 1, ...over });
-    directory.put(entry());
-    const version = directory.version();
-    directory.noteLeaving({ id: 'a~1' });
-    t.true(directory.version() > version);
-    const isUsable = () => directory.usable('s').length > 0;
-    t.false(isUsable());
-    directory.put(entry({ entryNumber: 2 }));
-    directory.replaceAll([entry({ entryNumber: 3, slots: 5 })]);
-    t.false(isUsable());
-    directory.withdraw('a');
-    directory.put(entry({ entryNumber: 4 }));
-    t.false(isUsable());
-    directory.noteOlderCopy();
-    directory.put(entry({ entryNumber: 5 }));
-    t.false(isUsable());
-    directory.remove('a');
-    t.is(directory.size(), 0);
-    directory.put(entry({ entryNumber: 6 }));
-    t.is(directory.size(), 1);
-    t.false(isUsable());
-    directory.noteBorn(entry(), 2, 'decode');
-    t.deepEqual(idsOf(directory.usable('s')), [serverIdOf('a', 2)]);
-  },
-);
+test.serial('a leaving notice outlasts the server’s entries and ends with its incarnation', (t) => {
+  // The store is late or unavailable: it lists the server as ready, loses its entry, lists it again, and is restored
+  // from a backup. None of this revokes the notice. It does not apply to a later incarnation under the same name.
+  const directory = createServerDirectory();
+  const entry = (over: Partial<BackendServer> = {}) =>
+    server('a~1', { name: 'a', bornAtMs: 1, entryNumber: 1, ...over });
+  directory.put(entry());
+  const version = directory.version();
+  directory.noteLeaving({ id: 'a~1' });
+  t.true(directory.version() > version);
+  const isUsable = () => directory.usable('s').length > 0;
+  t.false(isUsable());
+  directory.put(entry({ entryNumber: 2 }));
+  directory.replaceAll([entry({ entryNumber: 3, slots: 5 })]);
+  t.false(isUsable());
+  directory.withdraw('a');
+  directory.put(entry({ entryNumber: 4 }));
+  t.false(isUsable());
+  directory.noteOlderCopy();
+  directory.put(entry({ entryNumber: 5 }));
+  t.false(isUsable());
+  directory.remove('a');
+  t.is(directory.size(), 0);
+  directory.put(entry({ entryNumber: 6 }));
+  t.is(directory.size(), 1);
+  t.false(isUsable());
+  directory.noteBorn(entry(), 2, 'decode');
+  t.deepEqual(idsOf(directory.usable('s')), [serverIdOf('a', 2)]);
+});
 
-test('a server that says that it leaves before it is listed is never used', (t) => {
+test('a server that announces that it is leaving before it is listed is never used', (t) => {
   const directory = createServerDirectory();
   directory.noteLeaving({ id: 'a' });
   directory.put(server('a'));
@@ -97,41 +94,42 @@
   t.true(directory.get('a')?.isDraining);
 });
 
-test('a server that starts again under its name is another server', (t) => {
-  // What was believed of the life before (memory in use, breakers, prefill results) would be held against an
-  // engine that holds and knows nothing. It crashes and is back under its name within its heartbeat.
+test('a server that restarts under its name counts as a new server', (t) => {
+  // It crashes and is registered again within its heartbeat. State of the previous incarnation (memory in use, circuit
+  // breakers, prefill results) must not be applied to an engine that starts empty.
   const changes: string[] = [];
   const directory = createServerDirectory({
     onChanged: ({ kind, server: { id } }) => changes.push(`${kind} ${id}`),
   });
-  const life = (bornAtMs: number) =>
+  const incarnation = (bornAtMs: number) =>
     server(serverIdOf('a', bornAtMs), { name: 'a', bornAtMs, slots: bornAtMs });
-  directory.put(life(10));
-  directory.put(life(20));
+  directory.put(incarnation(10));
+  directory.put(incarnation(20));
   t.deepEqual(changes, ['added a~a', 'removed a~a', 'added a~k']);
   t.is(directory.get('a~a'), undefined);
   t.deepEqual(idsOf(directory.usable('s')), ['a~k']);
 });
 
-test('news of a life that is over changes nothing, whether the server is listed or gone', (t) => {
-  // Requests would go to a life that is over. An entry of before a restart arrives after it.
+test('entries of a past incarnation are ignored, whether the server is listed or removed', (t) => {
+  // Otherwise an entry from before a restart that arrives after it directs requests to the past incarnation.
   const directory = createServerDirectory();
-  const life = (bornAtMs: number) => server(serverIdOf('a', bornAtMs), { name: 'a', bornAtMs });
-  directory.put(life(20));
-  directory.put(life(10));
+  const incarnation = (bornAtMs: number) =>
+    server(serverIdOf('a', bornAtMs), { name: 'a', bornAtMs });
+  directory.put(incarnation(20));
+  directory.put(incarnation(10));
   t.deepEqual(idsOf(directory.all()), ['a~k']);
-  directory.replaceAll([life(10)]);
+  directory.replaceAll([incarnation(10)]);
   t.deepEqual(idsOf(directory.all()), ['a~k']);
   directory.remove('a');
-  directory.put(life(10));
+  directory.put(incarnation(10));
   t.deepEqual(directory.all(), []);
-  directory.put(life(30));
+  directory.put(incarnation(30));
   t.deepEqual(idsOf(directory.usable('s')), ['a~u']);
 });
 
-test('a server whose entry turns unreadable gets nothing new until it is readable again', (t) => {
-  // Another writer has spoiled the entry: nobody vouches for the address any more. What is in progress there goes
-  // on, so the server is still known.
+test('a server whose entry becomes unreadable gets no new requests until it is readable again', (t) => {
+  // The entry was overwritten by someone else, so its address can no longer be trusted. Requests in progress continue,
+  // so the server is still known.
   const directory = createServerDirectory();
   directory.put(server('a'));
   directory.withdraw('a');
@@ -144,14 +142,14 @@
   t.deepEqual(idsOf(directory.all()), ['a']);
 });
 
-test('an entry without the birth that its server has told before is not its own', (t) => {
+test('an entry that lacks the start time of earlier entries is not the server’s own', (t) => {
   const directory = createServerDirectory();
   directory.put(server('a~a', { name: 'a', bornAtMs: 10 }));
   directory.put(server('a', { address: '10.9.9.9:1' }));
   t.deepEqual(directory.usable('s'), []);
 });
 
-test('a report may tell of a restart before the entry does', (t) => {
+test('a load report may reveal a restart before the entry does', (t) => {
   const directory = createServerDirectory();
   const before = server('a~a', { name: 'a', bornAtMs: 10, stage: 'prefill' });
   directory.put(before);
@@ -163,9 +161,9 @@
   t.like(directory.usable('s')[0], { id: 'a~k' });
 });
 
-test.serial('what an older copy of the store lists does not go before what is known', (t) => {
-  // Requests would go to servers that end. The store has lost that one said it leaves, that another is gone, and that a
-  // third changed; each counts again by an entry that it has written later.
+test.serial('the list of a restored backup does not replace newer known state', (t) => {
+  // Otherwise requests are sent to servers that are stopping. The store has lost that one server announced its leaving,
+  // that another was removed, and that a third changed; each is used again after it has written a newer entry.
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] });
   try {
     const directory = createServerDirectory();
@@ -192,7 +190,7 @@
   }
 });
 
-test.serial('a server whose entry could not be read has not said that it leaves', (t) => {
+test.serial('a server whose entry could not be read has not announced that it is leaving', (t) => {
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] });
   try {
     const directory = createServerDirectory();
--- a/packages/routing/__tests__/watchPlan.test.ts
+++ b/packages/routing/__tests__/watchPlan.test.ts
@@ -3,7 +3,7 @@
 
 const routers = Array.from({ length: 24 }, (_none, at) => `10.0.0.${at + 1}:7400`);
 
-function planOf(own: string, live: readonly string[] = routers.filter((one) => one !== own)) {
+function createPlan(own: string, live: readonly string[] = routers.filter((one) => one !== own)) {
   return createWatchPlan({
     peers: () => ({ address: own, livePeers: () => live }),
     contactMs: 4_000,
@@ -12,28 +12,28 @@
   });
 }
 
-test('a few follow and tell, the rest are told', (t) => {
-  const plans = routers.map((own) => planOf(own));
+test('a few routers watch and relay, the others receive relayed changes', (t) => {
+  const plans = routers.map((own) => createPlan(own));
   t.is(plans.filter((plan) => plan.isTelling()).length, 3);
   t.is(plans.filter((plan) => plan.isToldByOthers()).length, 21);
 });
 
-test('a router that hears nobody follows for itself, and tells nobody', (t) => {
-  const alone = planOf(routers[0] as string, []);
+test('a router without live peers watches for itself and relays nothing', (t) => {
+  const alone = createPlan(routers[0] as string, []);
   t.false(alone.isToldByOthers());
   t.false(alone.isTelling());
   t.deepEqual(alone.witnesses(Infinity), []);
 });
 
-test('those that follow are asked, and others too once their word comes too late', (t) => {
-  const told = routers.map((own) => planOf(own)).find((plan) => plan.isToldByOthers());
-  t.deepEqual(told?.witnesses(1_000), told?.followers());
-  t.true((told?.witnesses(Infinity).length ?? 0) > 3);
+test('relays are asked for a proof, and other routers too once that proof is late', (t) => {
+  const receiver = routers.map((own) => createPlan(own)).find((plan) => plan.isToldByOthers());
+  t.deepEqual(receiver?.witnesses(1_000), receiver?.followers());
+  t.true((receiver?.witnesses(Infinity).length ?? 0) > 3);
 });
 
-test('a proof is renewed in time for one call to be lost, and given up before the bound', (t) => {
-  const plan = planOf(routers[0] as string);
-  // A call that is lost takes its wait and 0.7 s, and half a second passes until the next.
+test('a proof is renewed early enough for one call to be lost, and expires before the bound', (t) => {
+  const plan = createPlan(routers[0] as string);
+  // A lost call takes its watch duration plus 0.7 s, and half a second passes until the next one.
   t.true(plan.isFresh(plan.proofLeftMs(0) + 700 + 500));
   t.false(plan.isFresh(4_900));
   t.false(plan.isFresh(Infinity));
--- a/packages/routing/__tests__/workspaceAccess.test.ts
+++ b/packages/routing/__tests__/workspaceAccess.test.ts
@@ -36,7 +36,7 @@
   return decideAccess({ table, route, credential, freshness: fresh, ...over });
 }
 
-test('a key opens for its workspace, any other is refused for good', (t) => {
+test('a known key grants access for its workspace, any other gets a final refusal', (t) => {
   t.deepEqual(decide(known), { kind: 'granted', workspace: bonds });
   const refused = { kind: 'refused', refusal: { kind: 'unknown-key' } } as const;
   t.deepEqual(decide(unknown), refused);
@@ -44,12 +44,12 @@
   t.deepEqual(decide({ kind: 'unreadable' }), refused);
 });
 
-test('a stranger learns nothing of the routes', (t) => {
+test('a caller without a valid key cannot probe for routes', (t) => {
   t.like(decide(unknown, { route: undefined }), { refusal: { kind: 'unknown-key' } });
 });
 
-test('where nothing proves the configuration complete, no key opens, and none is refused for good', (t) => {
-  // The key may have been taken away, or given, in a configuration that this router has not seen.
+test('without a proof that the configuration is complete, keys are neither accepted nor finally refused', (t) => {
+  // The key may have been revoked, or issued, in a configuration that this router has not seen.
   const freshness = { isProved: false, isBehind: false };
   [known, unknown].forEach((credential) =>
     t.like(decide(credential, { freshness }), {
@@ -58,13 +58,13 @@
   );
 });
 
-test('an unknown key may be known to a newer configuration', (t) => {
+test('an unknown key may be part of a newer configuration', (t) => {
   const freshness = { isProved: true, isBehind: true };
   t.like(decide(unknown, { freshness }), { refusal: { reason: 'stale-configuration' } });
   t.like(decide(known, { freshness }), { kind: 'granted' });
 });
 
-test('a route that needs no key is open also where nothing is proved', (t) => {
+test('a route that needs no key is open even without a proof', (t) => {
   const open = { ...route, needsNoKey: true };
   const freshness = { isProved: false, isBehind: false };
   t.deepEqual(decide({ kind: 'none' }, { route: open, freshness }), {
@@ -73,7 +73,7 @@
   });
 });
 
-test('a key among ten thousand is found in the time of a few', (t) => {
+test('a key among ten thousand is found in under 0.02 ms on average', (t) => {
   const workspaces = Array.from({ length: 1_000 }, (_none, index) => ({
     name: `w${index}`,
     keyDigests: Array.from({ length: 10 }, (_also, key) => `digest-${index}-${key}`),
--- a/packages/routing/src/configurationProof.ts
+++ b/packages/routing/src/configurationProof.ts
@@ -1,14 +1,15 @@
 /**
- * How long ago the configuration in force was proved to be the newest. Answers API keys that are taken away: within a
- * bound no router may let their requests run, also one that is cut off, frozen or late. What proves is the moment
- * at which a call of the platform began, never that at which its answer came: an answer may have been on its way, or a
- * process stood still, for any time. Routers that leave the watching to others ask those, and count from their question.
+ * Tracks how long ago the configuration in force was proved to be the newest. This bounds how long a revoked API key
+ * works: after a fixed time no router may run requests with it, even if the router is partitioned, frozen or slow. A
+ * proof counts from the start of a call to the platform, never from its answer, because an answer may have been in
+ * transit, or the process suspended, for any length of time. Routers that leave the watching to relays ask those for
+ * their proof, and count it from the time of the question.
  *
- * While nothing fails, with calls of others of 1.25 s a router's proof is 3.2 s old at the most: two such calls, and the
- * time between two questions. It asks the platform itself soon after that.
+ * While nothing fails and relays call the platform every 1.25 s, a router's proof is at most 3.2 s old: two such calls
+ * plus the interval between two questions. Soon after that the router calls the platform itself.
  *
- * A platform that comes back from an older copy may show an older configuration, and one that is older proves nothing:
- * neither to a router that knows a newer one, nor to one that has just started and hears of a newer one from those it asks.
+ * A platform restored from a backup may return an older configuration, and an older one proves nothing: neither to a
+ * router that knows a newer one, nor to one that has just started and learns of a newer one from the routers it asks.
  */
 import {
   encodeProofMessage,
@@ -37,146 +38,153 @@
 
 export interface ConfigurationProofOptions {
   channel: () => ProofChannel | undefined;
-  /** Whether anything hangs on the proof. */
+  /** Whether any request depends on the proof. */
   isNeeded: () => boolean;
-  /** Routers to ask; none where this one watches the platform itself. */
+  /** Routers to ask for their proof; empty if this one watches the platform itself. */
   witnesses: () => readonly string[];
   /** The newest revision of the configuration that this process has seen. */
   seenRevision: () => StorePosition;
-  /** Another process has seen this revision. */
+  /** Called when a peer has seen this revision. */
   onRevisionElsewhere(revision: StorePosition): void;
   random?: Random;
 }
 
 export interface ConfigurationProof extends BackgroundLoop {
-  /** This version of the configuration is in force from now on. */
+  /** Records that this version of the configuration is in force from now on. */
   noteConfiguration(version: number): void;
-  /** A call of the platform that began then has shown this version of the configuration, and nothing newer. */
-  noteProved(begun: ClockReading, shownVersion: number): void;
-  /** The platform has come back from an older copy: what was proved before is no proof for others any more. */
+  /** Records that a call to the platform that started then returned this version of the configuration as the newest. */
+  noteProved(startedAt: ClockReading, shownVersion: number): void;
+  /** The platform was restored from a backup: earlier proofs are no longer passed on to other routers. */
   noteEraRisen(): void;
-  /** The newest configuration cannot be used: what is in force proves nothing. */
+  /** Sets whether the newest configuration is unusable, so that nothing proves the one in force to be current. */
   noteUnusable(isUnusable: boolean): void;
-  /** Infinite where nothing is proved. */
+  /** Age of the newest proof; infinite without one. */
   ageMs(): number;
   receive(message: ProofMessage): void;
-  /** Asks at once, as an earlier question may be lost. */
+  /** Asks immediately, as an earlier question may have been lost. */
   ask(): void;
 }
 
 const questionIntervalMs = 700;
-/** Between two questions that were not due yet. */
-const leastQuestionGapMs = 100;
-/** Answers to earlier questions are too late to help. */
-const mostQuestions = 16;
-const questionNumbers = 2 ** 48;
-/** The first question is answered well within this time. */
-const answerWaitMs = 1_500;
+/** Minimum time between two questions, for those sent ahead of the regular interval. */
+const minQuestionGapMs = 100;
+/** Answers to older questions arrive too late to be useful. */
+const maxPendingQuestions = 16;
+const questionNumberRange = 2 ** 48;
+/** The first question is normally answered well within this time. */
+const firstAnswerWaitMs = 1_500;
 
 export function createConfigurationProof(options: ConfigurationProofOptions): ConfigurationProof {
   const { random = Math.random } = options;
-  const asked = new Map<number, ClockReading>();
+  const pendingQuestions = new Map<number, ClockReading>();
   let provedAt: ClockReading | undefined;
-  /** By this process's own call: what others hear is never older than it says. */
+  /** Time of this process's own last proof: only that is passed on, so that its stated age is always correct. */
   let ownProvedAt: ClockReading | undefined;
   let lastAskedAt: ClockReading | undefined;
   let isUnusable = false;
-  /** In force here, since when; version 0 before the first. */
-  let configuration = { version: 0, sinceAt: readClocks() };
-  /** The newest that a router that was asked has in force. */
-  let versionElsewhere = 0;
+  /** The configuration in force here; version 0 before the first. */
+  let configuration = { version: 0, inForceSince: readClocks() };
+  /** The newest version that an answering router has in force. */
+  let newestPeerVersion = 0;
   let hasAnswer = false;
-  /** Of the first question, whether there was anyone to ask or not. */
+  /** Time of the first attempt to ask, whether or not there was a router to ask. */
   let firstAskedAt: ClockReading | undefined;
 
   const ownVersion = () => configuration.version;
   const isFirstEra = () => eraOf(options.seenRevision()) === 0;
 
-  function keepNewest(known: ClockReading | undefined, begun: ClockReading): ClockReading {
-    return known === undefined || ageMsOf(begun) < ageMsOf(known) ? begun : known;
+  function newestOf(known: ClockReading | undefined, startedAt: ClockReading): ClockReading {
+    return known === undefined || ageMsOf(startedAt) < ageMsOf(known) ? startedAt : known;
   }
 
   function ask(): void {
     const channel = options.channel();
-    const witnesses = options.witnesses();
+    const proofSources = options.witnesses();
     const now = readClocks();
     firstAskedAt ??= now;
-    const isTooSoon = lastAskedAt !== undefined && ageMsOf(lastAskedAt, now) < leastQuestionGapMs;
-    if (channel === undefined || witnesses.length === 0 || isTooSoon) {
+    const isTooSoon = lastAskedAt !== undefined && ageMsOf(lastAskedAt, now) < minQuestionGapMs;
+    if (channel === undefined || proofSources.length === 0 || isTooSoon) {
       return;
     }
     lastAskedAt = now;
-    const number = Math.floor(random() * questionNumbers);
-    asked.set(number, now);
-    [...asked.keys()].slice(0, -mostQuestions).forEach((old) => asked.delete(old));
+    const number = Math.floor(random() * questionNumberRange);
+    pendingQuestions.set(number, now);
+    [...pendingQuestions.keys()]
+      .slice(0, -maxPendingQuestions)
+      .forEach((old) => pendingQuestions.delete(old));
     const question = { kind: 'question', senderAddress: channel.address, number } as const;
-    void channel.send(encodeProofMessage(question), witnesses);
+    void channel.send(encodeProofMessage(question), proofSources);
   }
 
-  /** Without a proof of its own it still tells its configuration's version: the asker's may be older. */
+  /**
+   * Even without a proof of its own a router states its configuration's version: that of the asking router may be
+   * older.
+   */
   function answer(senderAddress: string, number: number): void {
     const ageMs = ownProvedAt === undefined || isUnusable ? Infinity : ageMsOf(ownProvedAt);
-    const { version, sinceAt } = configuration;
-    const told = { version, ageMs: ageMsOf(sinceAt) };
+    const { version, inForceSince } = configuration;
+    const inForce = { version, ageMs: ageMsOf(inForceSince) };
     const revision = options.seenRevision();
-    const reply = { kind: 'answer', number, revision, ageMs, configuration: told } as const;
+    const reply = { kind: 'answer', number, revision, ageMs, configuration: inForce } as const;
     void options.channel()?.send(encodeProofMessage(reply), [senderAddress]);
   }
 
-  function takeAnswer(told: ProofAnswer): void {
-    const askedAt = asked.get(told.number);
+  function applyAnswer(proofAnswer: ProofAnswer): void {
+    const askedAt = pendingQuestions.get(proofAnswer.number);
     if (askedAt === undefined) {
       return;
     }
-    const { revision, ageMs, configuration: theirs = { version: ownVersion(), ageMs: 0 } } = told;
+    const {
+      revision,
+      ageMs,
+      configuration: peerConfiguration = { version: ownVersion(), ageMs: 0 },
+    } = proofAnswer;
     hasAnswer = true;
-    noteVersionElsewhere(theirs, askedAt);
+    notePeerVersion(peerConfiguration, askedAt);
     if (revision > options.seenRevision()) {
       options.onRevisionElsewhere(revision);
       return;
     }
-    const isOfEra = eraOf(revision) === eraOf(options.seenRevision());
-    if (isOfEra && theirs.version === ownVersion()) {
-      provedAt = keepNewest(provedAt, earlierBy(askedAt, ageMs));
+    const isSameEra = eraOf(revision) === eraOf(options.seenRevision());
+    if (isSameEra && peerConfiguration.version === ownVersion()) {
+      provedAt = newestOf(provedAt, earlierBy(askedAt, ageMs));
     }
   }
 
   /**
-   * A call that began after another router had a newer version, and did not show it, was answered from an older copy. One
-   * that began before proves what it did: that version may be on its way here.
+   * A call that started after a peer had a newer version, and did not return that version, was answered from a restored
+   * backup: its proof is discarded. A call that started before remains a proof, as the newer version may be in transit.
    */
-  function noteVersionElsewhere(
-    { version, ageMs }: ToldConfiguration,
-    askedAt: ClockReading,
-  ): void {
-    versionElsewhere = Math.max(versionElsewhere, version);
-    const knownThereForMs = ageMsOf(askedAt) + ageMs;
-    if (version > ownVersion() && provedAt !== undefined && ageMsOf(provedAt) <= knownThereForMs) {
+  function notePeerVersion({ version, ageMs }: ToldConfiguration, askedAt: ClockReading): void {
+    newestPeerVersion = Math.max(newestPeerVersion, version);
+    const peerHeldForMs = ageMsOf(askedAt) + ageMs;
+    if (version > ownVersion() && provedAt !== undefined && ageMsOf(provedAt) <= peerHeldForMs) {
       provedAt = undefined;
       ownProvedAt = undefined;
     }
   }
 
   /**
-   * Whether the routers that were there before the platform came back have had time to tell of a newer configuration than
-   * its copy. In the first era there is no copy, and nothing to wait for.
+   * Whether routers that were running before the platform was restored have had time to report a newer configuration
+   * than the one in its backup. In the first era there has been no restore, and nothing to wait for.
    */
   function hasHeardOthers(): boolean {
-    const hasListened = firstAskedAt !== undefined && ageMsOf(firstAskedAt) > answerWaitMs;
-    return isFirstEra() || hasAnswer || hasListened;
+    const hasWaited = firstAskedAt !== undefined && ageMsOf(firstAskedAt) > firstAnswerWaitMs;
+    return isFirstEra() || hasAnswer || hasWaited;
   }
 
   /**
-   * Whether this router's word is one for others. Two that have both just started would confirm an older copy to each other,
-   * and refuse keys in force for good: each would take the other for one that had been there before. So would one that has
-   * heard of a newer configuration and does not have it yet.
+   * Whether this router may answer the questions of others. Two routers that have both just started would otherwise
+   * confirm the configuration of a restored backup to each other and refuse valid keys with a final error, each taking
+   * the other for one that was running before. The same holds for a router that knows of a newer configuration and has
+   * not yet got it.
    */
-  function hasWord(): boolean {
-    const hasNewest = isFirstEra() || ownVersion() >= versionElsewhere;
+  function canVouch(): boolean {
+    const hasNewest = isFirstEra() || ownVersion() >= newestPeerVersion;
     return ownVersion() > 0 && hasNewest && hasHeardOthers();
   }
 
-  function isProvable(): boolean {
+  function canProve(): boolean {
     return !isUnusable && hasHeardOthers();
   }
 
@@ -186,27 +194,28 @@
       if (isNeeded) {
         ask();
       }
-      // Until somebody has answered, a router that starts may know an older copy only.
+      // Until another router has answered, a starting router may know only the configuration of a restored backup.
       const isUrgent = isNeeded && !hasAnswer;
-      await delay(isUrgent ? leastQuestionGapMs : questionIntervalMs, signal);
+      await delay(isUrgent ? minQuestionGapMs : questionIntervalMs, signal);
     }
   }
 
   return {
     ...createBackgroundLoop(run),
     noteConfiguration(version) {
-      configuration = { version, sinceAt: readClocks() };
+      configuration = { version, inForceSince: readClocks() };
     },
-    noteProved(begun, shownVersion) {
-      if (shownVersion < Math.max(ownVersion(), versionElsewhere)) {
+    noteProved(startedAt, shownVersion) {
+      if (shownVersion < Math.max(ownVersion(), newestPeerVersion)) {
         return;
       }
-      // Nothing is asked while there is no configuration: a router may have waited for the store for long.
+      // No question is sent before there is a configuration, and the router may have waited long for the store. The
+      // first question is sent now, so that other routers have time to answer.
       if (firstAskedAt === undefined) {
         ask();
       }
-      provedAt = keepNewest(provedAt, begun);
-      ownProvedAt = keepNewest(ownProvedAt, begun);
+      provedAt = newestOf(provedAt, startedAt);
+      ownProvedAt = newestOf(ownProvedAt, startedAt);
     },
     noteUnusable(next) {
       isUnusable = next;
@@ -214,14 +223,14 @@
     noteEraRisen() {
       ownProvedAt = undefined;
     },
-    ageMs: () => (provedAt === undefined || !isProvable() ? Infinity : ageMsOf(provedAt)),
+    ageMs: () => (provedAt === undefined || !canProve() ? Infinity : ageMsOf(provedAt)),
     receive(message) {
       if (message.kind === 'question') {
-        if (hasWord()) {
+        if (canVouch()) {
           answer(message.senderAddress, message.number);
         }
       } else {
-        takeAnswer(message);
+        applyAnswer(message);
       }
     },
     ask,
--- a/packages/routing/src/objectFollower.ts
+++ b/packages/routing/src/objectFollower.ts
@@ -1,14 +1,15 @@
 /**
- * Keeps a copy of the objects of one kind: lists them once, then watches. A watch that is waiting does not show
- * that its connection went silent. So each is short, or, where other processes follow the same objects, as long
- * as those make up for: one that learns of a newer revision elsewhere gives its watch up for a new one.
+ * Keeps a local copy of the objects of one kind: lists them once, then watches for changes. A pending watch does not
+ * reveal that its connection has gone dead. Each watch is therefore short, unless other processes follow the same
+ * objects and cover for it: a process that learns of a newer revision from a peer aborts its watch and starts another.
  *
- * Where others tell what changed, a process may leave the watching to them: it asks the platform only where it has
- * missed a change, where it has heard nothing for a moment, and now and then to check. With 18 routers, three of which
- * tell the rest, a quiet minute takes 360 calls instead of 827.
+ * Where peers relay changes, a process may leave the watching to them. It then calls the platform only if it has
+ * missed a change, if no relayed change arrived within the relay timeout, and periodically to verify. With 18 routers,
+ * of which three relay to the others, an idle minute takes 360 calls instead of 827.
  *
- * Revisions are positions: of a later era of the platform, each is later than any before, whether it is seen here or told.
- * What a process knows of an earlier era is listed anew; nothing of an earlier era changes anything.
+ * Revisions are store positions: any position of a later era is greater than every position of an earlier one, whether
+ * it was observed here or relayed. Objects known from an earlier era are listed again, and changes of an earlier era
+ * are ignored.
  */
 import { ok, type Result } from 'neverthrow';
 import type {
@@ -35,32 +36,35 @@
   type Random,
 } from '@bluebellhitch/shared';
 
-/** What a watch has shown, to be told to others. */
+/** The changes that a watch has returned, in the form in which they are relayed to peers. */
 export type SeenChanges = Omit<ToldChanges, 'kindIndex'>;
 
 export interface ObjectFollowerOptions {
   store: ObjectApi;
   kind: ObjectKind;
-  /** Longest time of the next watch. */
+  /** Maximum duration of the next watch. */
   watchWaitMs: () => number;
-  /** The whole list, at the start and when the store has dropped its history. */
+  /** Receives the complete list, at the start and whenever the store has compacted the history after the cursor. */
   onListed(objects: readonly StoredObject[]): void;
   onEvent(event: WatchEvent): void;
-  /** The store stopped answering. */
+  /** Called when the store stops answering. */
   onLost(error: PlatformError): void;
-  /** The store answers again, or for the first time; another process may have noticed, so long ago. */
+  /**
+   * Called when the store answers again, or for the first time. `agoMs` is greater than 0 if a peer noticed the
+   * recovery that long ago.
+   */
   onBack(agoMs: number): void;
-  /** The store has come back from an older copy: the list that follows may be older than what is known. */
+  /** Called when the store was restored from a backup: the list that follows may be older than the known objects. */
   onEraRisen?: (era: number) => void;
-  /** An answer of the store has been applied. */
+  /** Called after an answer of the store has been applied. */
   onSeen?: (seen: SeenChanges) => void;
-  /** Whether others watch for this process. */
+  /** Whether peers watch on behalf of this process and relay the changes to it. */
   isToldByOthers?: () => boolean;
-  /** News of others count this long; then this process asks for itself. */
+  /** How long relayed changes count as current; after that this process calls the store itself. */
   newsLifetimeMs?: () => number;
-  /** A call that began then has shown all changes up to that moment. */
-  onProved?: (begun: ClockReading) => void;
-  /** For how long this process need not prove for itself that nothing is missing. */
+  /** Called after a call that started at this time has returned all changes up to then. */
+  onProved?: (startedAt: ClockReading) => void;
+  /** How long until this process has to verify with a call of its own that it has missed nothing. */
   proofLeftMs?: () => number;
   random?: Random;
   firstRetryMs?: number;
@@ -68,32 +72,32 @@
 }
 
 export interface ObjectFollower extends BackgroundLoop {
-  /** The newest revision of an object of the kind that was seen; 0 before the first. */
+  /** The newest revision known of any object of the kind; 0 before the first. */
   seenRevision(): StorePosition;
-  /** Another process has seen a newer one. */
+  /** Whether a peer has seen a newer revision. */
   isBehind(): boolean;
-  /** Another process has seen this revision. */
+  /** Records that a peer has seen this revision. */
   noteRevisionElsewhere(revision: StorePosition): void;
-  /** Another process tells what its watch has shown. */
-  noteTold(told: SeenChanges): void;
-  /** Asks the store at once. */
+  /** Applies changes that a peer has relayed. */
+  noteTold(relayed: SeenChanges): void;
+  /** Calls the store immediately. */
   refresh(): void;
 }
 
-/** Short against the bounds for changes, which hold seconds after the store is back. */
+/** Much shorter than the bounds for changes, which apply seconds after the store has recovered. */
 const defaultFirstRetryMs = 100;
 const defaultRetryLimitMs = 500;
-const shortestWaitMs = 1;
-const behindMs = 250;
+const minWatchMs = 1;
+const catchUpDelayMs = 250;
 /**
- * Changes come in bursts: those of this time after one are fetched by one call. A small part of the seconds within which
- * a change must be in force.
+ * Changes arrive in bursts: one call fetches all changes made within this time after the first. A small part of the
+ * seconds within which a change must be in force.
  */
-const gatherMs = 150;
-/** Others that tell too little, or nothing of some objects, are found out within this time. */
-const checkMs = 60_000;
-/** A return of the store that is longer ago means nothing any more. */
-const returnLifetimeMs = 10_000;
+const eventBatchMs = 150;
+/** Peers that fail to relay changes, or omit some objects, are detected within this time. */
+const verifyIntervalMs = 60_000;
+/** A recovery of the store is not reported to peers after this time, as it no longer has any effect. */
+const maxRecoveryAgeMs = 10_000;
 
 export function createObjectFollower(options: ObjectFollowerOptions): ObjectFollower {
   const { store, kind, watchWaitMs, random = Math.random } = options;
@@ -101,29 +105,29 @@
   const { onSeen = () => undefined, isToldByOthers = () => false } = options;
   const { newsLifetimeMs = () => 0, proofLeftMs = () => Infinity } = options;
   const { onProved = () => undefined, onEraRisen = () => undefined } = options;
-  /** Everything up to this revision of the store is known; undefined before the first list. */
+  /** All changes up to this store revision are known; undefined before the first list. */
   let cursor: string | undefined;
-  /** Of the last list. */
+  /** Era of the last list. */
   let listedEra: number | undefined;
-  /** When the store, here or at others, last showed that nothing is missing. */
-  let currentAtMs = -Infinity;
-  let askedAtMs = -Infinity;
-  let returnedAtMs = -Infinity;
-  let isBack = false;
-  /** The store has failed since it last answered. */
+  /** When a call to the store, by this process or a peer, last showed that nothing is missing. */
+  let upToDateAtMs = -Infinity;
+  let answeredAtMs = -Infinity;
+  let storeRecoveredAtMs = -Infinity;
+  let isStoreAvailable = false;
+  /** Whether a call has failed since the store last answered. */
   let hasFailed = false;
   let seenRevision = 0;
-  let revisionElsewhere = 0;
+  let newestPeerRevision = 0;
   let isRefreshDue = false;
-  let hadEvents = false;
-  /** A watch that waits for a change; a call that is answered at once is left to its own time-out. */
+  let hasNewEvents = false;
+  /** Aborts a watch that waits for a change; a call that is answered immediately is left to its own timeout. */
   let waitingWatch: AbortController | undefined;
-  let behindTimer: NodeJS.Timeout | undefined;
+  let catchUpTimer: NodeJS.Timeout | undefined;
   let wake: () => void = () => undefined;
 
   async function list(signal: AbortSignal): Promise<Result<void, PlatformError>> {
-    const begun = readClocks();
-    const heardOf = revisionElsewhere;
+    const startedAt = readClocks();
+    const peerRevisionBefore = newestPeerRevision;
     const listed = await store.list(kind);
     noteAnswer(listed, signal);
     return listed.map(({ objects, cursor: from }) => {
@@ -131,15 +135,15 @@
       objects.forEach(({ version }) => noteRevision(version));
       options.onListed(objects);
       cursor = from;
-      noteProved(begun, heardOf);
-      noteCurrent(from, from, []);
+      reportProof(startedAt, peerRevisionBefore);
+      reportSeen(from, from, []);
     });
   }
 
-  /** A store that was away so briefly that no call failed has lost entries all the same. */
+  /** A store that was restored so quickly that no call failed has lost entries nevertheless. */
   function noteEra(era: number): void {
     if (listedEra !== undefined && era > listedEra) {
-      returnedAtMs = monotonicNowMs();
+      storeRecoveredAtMs = monotonicNowMs();
       options.onBack(0);
       onEraRisen(era);
     }
@@ -148,59 +152,59 @@
   }
 
   async function watch(from: string, signal: AbortSignal): Promise<Result<void, PlatformError>> {
-    // After an outage the first watch does not wait: its answer tells that the store is back, and what is
-    // held back for the outage must not be held for the length of a watch longer.
-    const waitMs = isBack && !isRefreshDue && !isCheckDue() ? watchWaitMs() : shortestWaitMs;
+    // The first watch after an outage does not wait: its answer shows that the store has recovered, and removals that
+    // are delayed because of the outage must not be delayed further by the duration of a watch.
+    const waitMs = isStoreAvailable && !isRefreshDue && !isVerifying() ? watchWaitMs() : minWatchMs;
     isRefreshDue = false;
-    hadEvents = false;
-    const givenUp = new AbortController();
-    waitingWatch = waitMs > shortestWaitMs ? givenUp : undefined;
-    const either = AbortSignal.any([signal, givenUp.signal]);
-    const begun = readClocks();
-    const heardOf = revisionElsewhere;
-    const reply = await store.watch(kind, from, waitMs, either);
-    if (givenUp.signal.aborted) {
+    hasNewEvents = false;
+    const abandoned = new AbortController();
+    waitingWatch = waitMs > minWatchMs ? abandoned : undefined;
+    const combinedSignal = AbortSignal.any([signal, abandoned.signal]);
+    const startedAt = readClocks();
+    const peerRevisionBefore = newestPeerRevision;
+    const reply = await store.watch(kind, from, waitMs, combinedSignal);
+    if (abandoned.signal.aborted) {
       return ok(undefined);
     }
     noteAnswer(reply, signal);
-    return reply.map(({ events, cursor: next, compacted }) => {
-      hadEvents = events.length > 0;
+    return reply.map(({ events, cursor: nextCursor, compacted }) => {
+      hasNewEvents = events.length > 0;
       if (compacted) {
         cursor = undefined;
         return;
       }
-      apply(from, next, events);
-      noteProved(begun, heardOf);
-      noteCurrent(from, next, events);
+      apply(from, nextCursor, events);
+      reportProof(startedAt, peerRevisionBefore);
+      reportSeen(from, nextCursor, events);
     });
   }
 
-  /** What was heard of before a call that does not show it was false news. */
-  function noteProved(begun: ClockReading, heardOf: StorePosition): void {
-    if (revisionElsewhere === heardOf) {
-      revisionElsewhere = seenRevision;
+  /** A peer revision that was reported before the call and is not in its answer does not exist. */
+  function reportProof(startedAt: ClockReading, peerRevisionBefore: StorePosition): void {
+    if (newestPeerRevision === peerRevisionBefore) {
+      newestPeerRevision = seenRevision;
     }
-    onProved(begun);
+    onProved(startedAt);
   }
 
-  function noteCurrent(from: string, to: string, events: readonly WatchEvent[]): void {
+  function reportSeen(from: string, to: string, events: readonly WatchEvent[]): void {
     const nowMs = monotonicNowMs();
-    currentAtMs = nowMs;
-    askedAtMs = nowMs;
-    const backAgeMs = nowMs - returnedAtMs;
+    upToDateAtMs = nowMs;
+    answeredAtMs = nowMs;
+    const backAgeMs = nowMs - storeRecoveredAtMs;
     onSeen({
       fromRevision: Number(from),
       toRevision: Number(to),
-      changes: events.map(toldChange),
+      changes: events.map(toRelayedChange),
       ageMs: 0,
-      backAgeMs: backAgeMs < returnLifetimeMs ? backAgeMs : undefined,
+      backAgeMs: backAgeMs < maxRecoveryAgeMs ? backAgeMs : undefined,
     });
   }
 
   /**
-   * Takes all changes between two revisions of the store, where none before is missing. Others may have told of some of
-   * them: what is known is passed over, unless an object was removed, for a removal may bear an old revision; then all is
-   * repeated in its order.
+   * Applies all changes between two store revisions, provided that no earlier change is missing. Changes already known
+   * from peers are skipped, unless an object was removed: a removal may carry an old revision, so all changes are then
+   * applied again in order.
    */
   function apply(from: string, to: string, events: readonly WatchEvent[]): void {
     const known = Number(cursor);
@@ -223,8 +227,9 @@
   }
 
   /**
-   * Gives up a watch that waits: its connection may be silent. The call that follows is not given up, however
-   * often peers say that they are ahead: on a thin link its answer may take seconds, and would never be read.
+   * Aborts a waiting watch, as its connection may be dead. The call that follows is not aborted, however often peers
+   * report newer revisions: on a slow link its answer may take seconds, and repeated aborts would prevent it from ever
+   * being read.
    */
   function refresh(): void {
     isRefreshDue = true;
@@ -232,24 +237,24 @@
     wake();
   }
 
-  /** The change may be on its way here as well: a moment's patience saves a call. */
-  function noteBehind(isStillBehind: () => boolean): void {
-    if (behindTimer !== undefined) {
+  /** The missing change may be about to arrive here as well: a short delay saves a call. */
+  function scheduleCatchUp(isStillMissing: () => boolean): void {
+    if (catchUpTimer !== undefined) {
       return;
     }
-    behindTimer = setTimeout(() => {
-      behindTimer = undefined;
-      if (isStillBehind()) {
+    catchUpTimer = setTimeout(() => {
+      catchUpTimer = undefined;
+      if (isStillMissing()) {
         refresh();
       }
-    }, behindMs);
-    behindTimer.unref();
+    }, catchUpDelayMs);
+    catchUpTimer.unref();
   }
 
   function noteRevisionElsewhere(revision: StorePosition): void {
-    revisionElsewhere = Math.max(revisionElsewhere, revision);
+    newestPeerRevision = Math.max(newestPeerRevision, revision);
     if (revision > seenRevision) {
-      noteBehind(() => revision > seenRevision);
+      scheduleCatchUp(() => revision > seenRevision);
     }
   }
 
@@ -258,101 +263,101 @@
       return;
     }
     if (fromRevision > Number(cursor)) {
-      noteBehind(() => cursor !== undefined && fromRevision > Number(cursor));
+      scheduleCatchUp(() => cursor !== undefined && fromRevision > Number(cursor));
       return;
     }
     const nowMs = monotonicNowMs();
-    if (backAgeMs !== undefined && nowMs - backAgeMs > returnedAtMs) {
-      returnedAtMs = nowMs - backAgeMs;
+    if (backAgeMs !== undefined && nowMs - backAgeMs > storeRecoveredAtMs) {
+      storeRecoveredAtMs = nowMs - backAgeMs;
       options.onBack(backAgeMs);
     }
     apply(
       String(fromRevision),
       String(toRevision),
-      changes.map((change) => watchEvent(kind, change)),
+      changes.map((change) => toWatchEvent(kind, change)),
     );
-    currentAtMs = Math.max(currentAtMs, nowMs - ageMs);
+    upToDateAtMs = Math.max(upToDateAtMs, nowMs - ageMs);
   }
 
-  /** Before the answer is applied: a removal in it counts differently right after an outage. */
+  /** Runs before the answer is applied, because removals are treated differently right after an outage. */
   function noteAnswer(answer: Result<unknown, PlatformError>, signal: AbortSignal): void {
     if (answer.isOk()) {
-      noteReturn();
+      noteStoreAvailable();
     } else if (!signal.aborted) {
       hasFailed = true;
-      noteLoss(answer.error);
+      noteStoreLost(answer.error);
     }
   }
 
-  /** The first answer of a process that starts is no return, and others are not told of one. */
-  function noteReturn(): void {
+  /** The first answer after the start of this process is not a recovery, and none is reported to peers. */
+  function noteStoreAvailable(): void {
     if (hasFailed) {
       hasFailed = false;
-      returnedAtMs = monotonicNowMs();
+      storeRecoveredAtMs = monotonicNowMs();
     }
-    if (!isBack) {
-      isBack = true;
+    if (!isStoreAvailable) {
+      isStoreAvailable = true;
       options.onBack(0);
     }
   }
 
-  function noteLoss(error: PlatformError): void {
-    if (isBack) {
-      isBack = false;
+  function noteStoreLost(error: PlatformError): void {
+    if (isStoreAvailable) {
+      isStoreAvailable = false;
       options.onLost(error);
     }
   }
 
-  /** How long the platform need not be asked, as others have told enough. */
-  function restMs(): number {
-    const mayRest = cursor !== undefined && isBack && !isRefreshDue && isToldByOthers();
-    const checkLeftMs = askedAtMs + checkMs - monotonicNowMs();
-    return mayRest ? Math.min(newsLeftMs(), checkLeftMs, proofLeftMs()) : 0;
+  /** How long no call to the platform is needed, because the changes relayed by peers suffice. */
+  function idleMs(): number {
+    const canIdle = cursor !== undefined && isStoreAvailable && !isRefreshDue && isToldByOthers();
+    const verifyLeftMs = answeredAtMs + verifyIntervalMs - monotonicNowMs();
+    return canIdle ? Math.min(relayLeftMs(), verifyLeftMs, proofLeftMs()) : 0;
   }
 
-  function newsLeftMs(): number {
-    return currentAtMs + newsLifetimeMs() - monotonicNowMs();
+  function relayLeftMs(): number {
+    return upToDateAtMs + newsLifetimeMs() - monotonicNowMs();
   }
 
-  /** Others still tell what changes: the answer shows only whether that is all. */
-  function isCheckDue(): boolean {
-    return isToldByOthers() && newsLeftMs() > 0;
+  /** Peers are still relaying changes: the answer only verifies that none is missing. */
+  function isVerifying(): boolean {
+    return isToldByOthers() && relayLeftMs() > 0;
   }
 
-  async function rest(forMs: number, signal: AbortSignal): Promise<void> {
-    const woken = new AbortController();
-    wake = () => woken.abort();
-    await delay(forMs, AbortSignal.any([signal, woken.signal]));
+  async function idle(idleForMs: number, signal: AbortSignal): Promise<void> {
+    const wakeUp = new AbortController();
+    wake = () => wakeUp.abort();
+    await delay(idleForMs, AbortSignal.any([signal, wakeUp.signal]));
     wake = () => undefined;
   }
 
   async function run(signal: AbortSignal): Promise<void> {
     let failures = 0;
     while (!signal.aborted) {
-      const forMs = restMs();
-      if (forMs > 0) {
-        await rest(forMs, signal);
+      const idleForMs = idleMs();
+      if (idleForMs > 0) {
+        await idle(idleForMs, signal);
       } else {
         const next = await (cursor === undefined ? list(signal) : watch(cursor, signal));
         failures = next.isOk() ? 0 : failures + 1;
-        await delay(next.isOk() ? gatherLeftMs() : pauseMs(failures - 1), signal);
+        await delay(next.isOk() ? batchDelayMs() : retryDelayMs(failures - 1), signal);
       }
     }
   }
 
-  function gatherLeftMs(): number {
-    return hadEvents ? gatherMs : 0;
+  function batchDelayMs(): number {
+    return hasNewEvents ? eventBatchMs : 0;
   }
 
-  function pauseMs(failures: number): number {
-    const ceilingMs = Math.min(retryLimitMs, firstRetryMs * 2 ** failures);
-    return ceilingMs * (0.5 + 0.5 * random());
+  function retryDelayMs(failures: number): number {
+    const maxDelayMs = Math.min(retryLimitMs, firstRetryMs * 2 ** failures);
+    return maxDelayMs * (0.5 + 0.5 * random());
   }
 
   return {
     ...createBackgroundLoop(run),
     seenRevision: () => seenRevision,
-    isBehind: () => revisionElsewhere > seenRevision,
+    isBehind: () => newestPeerRevision > seenRevision,
     noteRevisionElsewhere,
     noteTold,
     refresh,
@@ -363,7 +368,7 @@
   return event.kind === 'put' ? event.object.version : event.version;
 }
 
-function toldChange(event: WatchEvent): ToldChange {
+function toRelayedChange(event: WatchEvent): ToldChange {
   return event.kind === 'removed'
     ? { kind: 'removed', key: event.key, revision: event.version }
     : {
@@ -374,7 +379,7 @@
       };
 }
 
-function watchEvent(kind: ObjectKind, change: ToldChange): WatchEvent {
+function toWatchEvent(kind: ObjectKind, change: ToldChange): WatchEvent {
   const { key, revision } = change;
   return change.kind === 'removed'
     ? { kind: 'removed', key, version: revision }
--- a/packages/routing/src/serverDirectory.ts
+++ b/packages/routing/src/serverDirectory.ts
@@ -1,25 +1,25 @@
 /**
- * The backend servers as the object store lists them. A server that reports draining, whose entry goes or can't be
- * read any more gets no new requests. One that starts again under its name is another server from then on, and news
- * of its life before is old: it would bring back what the restart has ended.
+ * The backend servers that are registered in the object store. A server gets no new requests once it reports that it is
+ * draining, or once its entry is removed or becomes unreadable. A server that restarts under its name counts as a new
+ * server: entries of its previous incarnation are ignored, as they would restore state that the restart has ended.
  *
- * Entries that lapsed while the store was away come back within moments of its
- * return, so a removal seen then is held back for that long: otherwise a store that was down would empty
- * the pools of servers that are all alive.
+ * Entries that expired while the store was unavailable are written again moments after it recovers. Removals are
+ * therefore delayed for that long: otherwise an outage of the store would empty pools whose servers are all running.
  *
- * A store that comes back from an older copy lists servers that have left since, or said that they leave. For a while what is
- * known goes before it: such a server counts again only by an entry that it has written later than the last one known.
+ * A store restored from a backup lists servers that have since left or announced that they leave. For some time the
+ * known state takes precedence: such a server is used again only after it has written an entry newer than the last
+ * known one.
  *
- * That a server leaves it may also say itself, in its answers. The store can be away or late, so its entry does not
- * undo that word, which holds for the rest of the life that gave it.
+ * A server may also announce in its responses that it is leaving. As the store may be unavailable or late, its entry
+ * does not revoke that notice, which applies until the end of the incarnation that sent it.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import { createBoundedMap } from '@bluebellhitch/decisions';
 import { serverIdOf, type BackendServer, type Stage } from './model';
 
 export interface ServerDirectoryOptions {
-  /** How long after the store's return a missing entry still counts. */
-  lapseGraceMs?: number;
+  /** How long after the store has recovered a missing entry still counts as present. */
+  expiryGraceMs?: number;
   onChanged?: (change: ServerChange) => void;
 }
 
@@ -31,74 +31,74 @@
   put(server: BackendServer): void;
   remove(name: string): void;
   /**
-   * The entry of this name can't be read. The server gets nothing new, like one that drains; what it has in progress
-   * goes on, and its next readable entry brings it back.
+   * Called when the entry of this name cannot be read. Like a draining server it gets no new requests; requests in
+   * progress continue, and its next readable entry makes it usable again.
    */
   withdraw(name: string): void;
-  /** Takes the whole list of the store; entries of these names could not be read. */
+  /** Replaces all servers by the store's complete list; the entries of `unreadableNames` could not be read. */
   replaceAll(servers: readonly BackendServer[], unreadableNames?: readonly string[]): void;
-  /** The server itself tells when it was born, which may be news before its entry is. */
+  /** The server itself reports the start of its incarnation, possibly before its new entry arrives. */
   noteBorn(server: BackendServer, bornAtMs: number, stage: Stage): void;
-  /** The server says itself that it leaves. */
+  /** The server has announced that it is leaving. */
   noteLeaving(server: Pick<BackendServer, 'id'>): void;
   storeLost(): void;
-  /** The store answers again, or has since so long ago. */
+  /** The store answers again, and has done so for `agoMs`. */
   storeBack(agoMs?: number): void;
-  /** The store has come back from an older copy: the next lists may be older than what is known. */
+  /** The store was restored from a backup: the next lists may be older than the known state. */
   noteOlderCopy(): void;
   get(id: string): BackendServer | undefined;
   /** Servers that may get new requests. */
   usable(serviceName: string, stage?: Stage): BackendServer[];
-  /** A later life of it is listed: what it ran is gone. */
+  /** Whether a later incarnation of it is listed, so that everything it was running is lost. */
   hasRestarted(server: BackendServer): boolean;
-  /** All that are listed, those that drain too. */
+  /** All listed servers, including draining ones. */
   all(): BackendServer[];
   size(): number;
-  /** Grows with each change. */
+  /** Increases with each change. */
   version(): number;
-  /** When a server last came, went or began to drain, on the monotonic clock. */
+  /** When a server was last added or removed or began to drain, on the monotonic clock. */
   membershipChangedAtMs(): number;
 }
 
-/** Names whose latest life is remembered after their removal: late entries of it come within seconds. */
+/** Names whose latest incarnation is remembered after removal: late entries of it arrive within seconds. */
 const maxRememberedNames = 4_096;
-/** Alive servers write again within about two seconds; a quarter more for the way. */
-const defaultLapseGraceMs = 2_250;
-/** In this time servers that live have written again, and entries of those that are gone have lapsed. */
-const olderCopyMs = 10_000;
+/** Running servers write their entry again within about two seconds; 250 ms more for its delivery. */
+const defaultExpiryGraceMs = 2_250;
+/** Within this time running servers have written their entries again, and those of stopped servers have expired. */
+const restoreGraceMs = 10_000;
 const maxRememberedIds = 4_096;
 
 export function createServerDirectory(options: ServerDirectoryOptions = {}): ServerDirectory {
-  const { lapseGraceMs = defaultLapseGraceMs, onChanged = () => undefined } = options;
-  /** By name. */
+  const { expiryGraceMs = defaultExpiryGraceMs, onChanged = () => undefined } = options;
+  /** Keyed by name. */
   const servers = new Map<string, BackendServer>();
   const idsToNames = new Map<string, string>();
-  const lastBornAtMs = createBoundedMap<string, number>({ maxEntries: maxRememberedNames });
-  const heldRemovals = new Map<string, NodeJS.Timeout>();
+  const latestBornAtMs = createBoundedMap<string, number>({ maxEntries: maxRememberedNames });
+  const delayedRemovals = new Map<string, NodeJS.Timeout>();
   let version = 0;
   let membershipChangedAtMs = -Infinity;
-  let isStoreAway = false;
-  let storeBackAtMs = -Infinity;
-  let olderCopyUntilMs = -Infinity;
-  /** Numbers of the last entries of servers that were removed, by id. */
+  let isStoreUnavailable = false;
+  let storeRecoveredAtMs = -Infinity;
+  let restoreGraceUntilMs = -Infinity;
+  /** Number of the last entry of each removed server, keyed by id. */
   const removedEntryNumbers = createBoundedMap<string, number | undefined>({
     maxEntries: maxRememberedIds,
   });
-  /** Lives that have said that they leave; kept after their entries, which may lapse and come back. */
+  /** Incarnations that are leaving; remembered beyond their entries, which may expire and be written again. */
   const leavingIds = createBoundedMap<string, true>({ maxEntries: maxRememberedIds });
-  /** Names of servers whose entries could not be read: they did not say that they leave. */
+  /** Names of servers marked as draining only because their entries are unreadable. */
   const withdrawnNames = new Set<string>();
 
-  /** Whether the entry may be one of the older copy that the store has come back from. */
-  function isOfOlderCopy(server: BackendServer, isListed: boolean): boolean {
-    if (monotonicNowMs() >= olderCopyUntilMs) {
+  /** Whether the entry may come from the backup that the store was restored from. */
+  function isFromBackup(server: BackendServer, isListed: boolean): boolean {
+    if (monotonicNowMs() >= restoreGraceUntilMs) {
       return false;
     }
     const known = servers.get(server.name);
     if (known?.id === server.id) {
-      const hasLeft = known.isDraining && !withdrawnNames.has(known.name) && !server.isDraining;
+      const isLeaving = known.isDraining && !withdrawnNames.has(known.name) && !server.isDraining;
       return (
-        isEarlier(server, known.entryNumber) || (hasLeft && !isLater(server, known.entryNumber))
+        isEarlier(server, known.entryNumber) || (isLeaving && !isLater(server, known.entryNumber))
       );
     }
     if (!removedEntryNumbers.has(server.id)) {
@@ -109,25 +109,25 @@
   }
 
   function cancelRemoval(name: string): void {
-    clearTimeout(heldRemovals.get(name));
-    heldRemovals.delete(name);
+    clearTimeout(delayedRemovals.get(name));
+    delayedRemovals.delete(name);
   }
 
-  function isOldNews({ name, bornAtMs = Infinity }: BackendServer): boolean {
-    return bornAtMs < (lastBornAtMs.get(name) ?? -Infinity);
+  function isOfPastIncarnation({ name, bornAtMs = Infinity }: BackendServer): boolean {
+    return bornAtMs < (latestBornAtMs.get(name) ?? -Infinity);
   }
 
-  function withOwnWord(entry: BackendServer): BackendServer {
+  function withLeavingNotice(entry: BackendServer): BackendServer {
     return leavingIds.has(entry.id) ? { ...entry, isDraining: true } : entry;
   }
 
   function put(entry: BackendServer, isListed = false): void {
-    if (isOldNews(entry) || isOfOlderCopy(entry, isListed)) {
+    if (isOfPastIncarnation(entry) || isFromBackup(entry, isListed)) {
       return;
     }
-    const server = withOwnWord(entry);
-    if (server.bornAtMs === undefined && lastBornAtMs.get(server.name) !== undefined) {
-      // A server that tells its birth always does: this entry is another writer's.
+    const server = withLeavingNotice(entry);
+    if (server.bornAtMs === undefined && latestBornAtMs.get(server.name) !== undefined) {
+      // A server that states its start time does so in every entry: this one was written by someone else.
       withdraw(server.name);
       return;
     }
@@ -136,7 +136,7 @@
       removeNow(before);
     }
     if (server.bornAtMs !== undefined) {
-      lastBornAtMs.set(server.name, server.bornAtMs);
+      latestBornAtMs.set(server.name, server.bornAtMs);
     }
     cancelRemoval(server.name);
     withdrawnNames.delete(server.name);
@@ -164,22 +164,24 @@
 
   function remove(name: string): void {
     const server = servers.get(name);
-    if (server === undefined || heldRemovals.has(name)) {
+    if (server === undefined || delayedRemovals.has(name)) {
       return;
     }
-    const holdMs = server.isDraining ? 0 : graceLeftMs();
-    if (holdMs <= 0) {
+    const delayMs = server.isDraining ? 0 : graceLeftMs();
+    if (delayMs <= 0) {
       removeNow(server);
       return;
     }
-    const timer = setTimeout(() => removeNow(server), holdMs);
+    const timer = setTimeout(() => removeNow(server), delayMs);
     timer.unref();
-    heldRemovals.set(name, timer);
+    delayedRemovals.set(name, timer);
     onChanged({ kind: 'removal-held', server });
   }
 
   function graceLeftMs(): number {
-    return isStoreAway ? lapseGraceMs : storeBackAtMs + lapseGraceMs - monotonicNowMs();
+    return isStoreUnavailable
+      ? expiryGraceMs
+      : storeRecoveredAtMs + expiryGraceMs - monotonicNowMs();
   }
 
   function withdraw(name: string): void {
@@ -220,7 +222,7 @@
     if (known === undefined || known.isDraining) {
       return;
     }
-    const server = withOwnWord(known);
+    const server = withLeavingNotice(known);
     servers.set(server.name, server);
     version += 1;
     membershipChangedAtMs = monotonicNowMs();
@@ -240,14 +242,14 @@
     noteBorn,
     noteLeaving,
     storeLost() {
-      isStoreAway = true;
+      isStoreUnavailable = true;
     },
     storeBack(agoMs = 0) {
-      isStoreAway = false;
-      storeBackAtMs = Math.max(storeBackAtMs, monotonicNowMs() - agoMs);
+      isStoreUnavailable = false;
+      storeRecoveredAtMs = Math.max(storeRecoveredAtMs, monotonicNowMs() - agoMs);
     },
     noteOlderCopy() {
-      olderCopyUntilMs = monotonicNowMs() + olderCopyMs;
+      restoreGraceUntilMs = monotonicNowMs() + restoreGraceMs;
     },
     get,
     usable: (serviceName, stage) =>
--- a/packages/routing/src/watchPlan.ts
+++ b/packages/routing/src/watchPlan.ts
@@ -1,69 +1,71 @@
 /**
- * Which routers watch the platform, for how long each time, and who is asked how fresh the configuration is. Answers
- * fleets of many routers: calls of the platform grow with its changes and parts, not with their product.
+ * Decides which routers watch the platform, for how long each time, and which ones are asked for a proof that the
+ * configuration is current. Keeps large fleets affordable: calls to the platform grow with the number of changes plus
+ * the number of shards, not with their product.
  */
 import { chooseFollowers } from '@bluebellhitch/decisions';
 import type { Random } from '@bluebellhitch/shared';
 
 export interface WatchPlanOptions {
-  /** Undefined until this process has its own address. */
+  /** Undefined until this process knows its own address. */
   peers: () => { address: string; livePeers(): readonly string[] } | undefined;
-  /** Within this time a change must be noticed. */
+  /** Maximum time until a change must be noticed. */
   contactMs: number;
-  /** No request may run that is sent this long after its key was taken away; infinite where nothing is promised. */
+  /** No request may run that is sent this long after its key was revoked; infinite if there is no such bound. */
   revocationMs: number;
   random?: Random;
 }
 
 export interface WatchPlan {
-  /** The routers of this part that follow the platform. */
+  /** The routers of this shard that watch the platform and relay its changes. */
   followers(): readonly string[];
-  /** Others leave the watching to this router. */
+  /** Whether this router relays changes to others. */
   isTelling(): boolean;
-  /** Others watch for this router. */
+  /** Whether other routers relay changes to this one. */
   isToldByOthers(): boolean;
-  /** For the next watch of what need not be proved. */
+  /** Duration of the next watch of objects that need no proof. */
   watchWaitMs(): number;
-  /** For the next watch of the configuration, where keys hang on it. */
+  /** Duration of the next watch of the configuration, if API keys depend on its proof. */
   provingWaitMs(): number;
-  /** For so long a proof of this age need not be renewed by a call of this router's own. */
+  /** How long a proof of this age may still be used before this router renews it with a call of its own. */
   proofLeftMs(ageMs: number): number;
-  /** A proof of this age is good enough to let a request with a key run. */
+  /** Whether a proof of this age is recent enough to run a request with a key. */
   isFresh(ageMs: number): boolean;
-  /** Routers to ask for a proof, where the one at hand has this age. */
+  /** Routers to ask for a proof if the current one has this age. */
   witnesses(ageMs: number): readonly string[];
-  /** News of others count for this long. */
+  /** How long relayed changes count as current. */
   newsLifetimeMs: number;
 }
 
-/** Of the time in which a process must notice a change: a watch this long leaves room for another try. */
+/** Share of `contactMs`: a watch of this duration leaves time for a second attempt. */
 const watchShare = 0.6;
-/** Routers whose watches end at different moments are worth one short watch together. */
-const watchesTogether = 3;
-/** Watches of one router end at different moments than those of others. */
-const leastWatchShare = 0.6;
-const longestWatchMs = 20_000;
+/** As watches of different routers end at different times, this many of them replace one short watch. */
+const staggeredWatches = 3;
+/** Lower bound of the random factor that makes watches of different routers end at different times. */
+const minWatchShare = 0.6;
+const maxWatchMs = 20_000;
 /**
- * Of the time in which keys that were taken away must stop. Those that follow the platform call it this often: a call
- * may be lost, and one more, before requests are refused.
+ * Share of `revocationMs`. Routers that watch the platform call it this often, so that two calls may be lost before
+ * requests are refused.
  */
 const proofWatchShare = 0.25;
 /**
- * A router that was told nothing for this part calls the platform itself; the rest is for one call that is lost. What
- * others tell is 3.4 s old at the most while all are heard, with 5 s for keys to stop.
+ * Share of `revocationMs`. A router whose proof is older than this calls the platform itself; the rest of the time
+ * covers one lost call. With a bound of 5 s, proofs from other routers are at most 3.4 s old while all of them can be
+ * reached.
  */
 const ownProofShare = 0.7;
-/** From the caller's sending to the check here, on two clocks. */
+/** Allows for the time from the caller's sending to the check here, measured on two clocks. */
 const proofMarginMs = 200;
-/** Besides those that follow the platform. */
-const mostWitnesses = 4;
+/** Live routers that are asked in addition to the relays. */
+const maxExtraSources = 4;
 
 export function createWatchPlan(options: WatchPlanOptions): WatchPlan {
   const { peers, contactMs, revocationMs, random = Math.random } = options;
-  let chosenOf = '';
-  let chosen: readonly string[] = [];
+  let chosenForKey = '';
+  let chosenRelays: readonly string[] = [];
 
-  /** Worked out once for each set of routers: it is asked for many times a second. */
+  /** Cached for each set of routers, as it is called many times per second. */
   function followers(): readonly string[] {
     const own = peers();
     if (own === undefined) {
@@ -71,38 +73,40 @@
     }
     const liveAddresses = own.livePeers();
     const key = liveAddresses.join(' ');
-    if (key !== chosenOf || chosen.length === 0) {
-      chosenOf = key;
-      chosen = chooseFollowers({ ownAddress: own.address, liveAddresses });
+    if (key !== chosenForKey || chosenRelays.length === 0) {
+      chosenForKey = key;
+      chosenRelays = chooseFollowers({ ownAddress: own.address, liveAddresses });
     }
-    return chosen;
+    return chosenRelays;
   }
 
-  function isFollower(): boolean {
+  function isRelay(): boolean {
     const own = peers();
     return own !== undefined && followers().includes(own.address);
   }
 
   function watchWaitMs(): number {
-    const share = watchShare * Math.max(1, followers().length / watchesTogether);
-    const spread = leastWatchShare + (1 - leastWatchShare) * random();
-    return Math.min(longestWatchMs, contactMs * share * spread);
+    const share = watchShare * Math.max(1, followers().length / staggeredWatches);
+    const spread = minWatchShare + (1 - minWatchShare) * random();
+    return Math.min(maxWatchMs, contactMs * share * spread);
   }
 
   const isLate = (ageMs: number) => ageMs >= revocationMs * ownProofShare;
 
   return {
     followers,
-    isTelling: () => isFollower() && followers().length <= (peers()?.livePeers().length ?? 0),
-    isToldByOthers: () => peers() !== undefined && !isFollower(),
+    isTelling: () => isRelay() && followers().length <= (peers()?.livePeers().length ?? 0),
+    isToldByOthers: () => peers() !== undefined && !isRelay(),
     watchWaitMs,
     provingWaitMs: () => Math.min(watchWaitMs(), revocationMs * proofWatchShare),
     proofLeftMs: (ageMs) => revocationMs * ownProofShare - ageMs,
     isFresh: (ageMs) => ageMs < revocationMs - proofMarginMs,
     witnesses(ageMs) {
       const live = peers()?.livePeers() ?? [];
-      const asked = isLate(ageMs) ? [...followers(), ...live.slice(0, mostWitnesses)] : followers();
-      return [...new Set(asked)].filter((other) => other !== peers()?.address);
+      const sources = isLate(ageMs)
+        ? [...followers(), ...live.slice(0, maxExtraSources)]
+        : followers();
+      return [...new Set(sources)].filter((other) => other !== peers()?.address);
     },
     newsLifetimeMs: contactMs * watchShare,
   };
--- a/packages/routing/src/workspaceAccess.ts
+++ b/packages/routing/src/workspaceAccess.ts
@@ -1,33 +1,35 @@
 /**
- * Whether a request may run for the workspace whose API key it shows. Answers keys that are taken away while a router
- * is cut off from the platform: a key counts only where the configuration was proved complete lately, whatever
- * the router has in memory. Pure; the router asks again before each further attempt.
+ * Decides whether a request may run for the workspace that its API key belongs to. Keys may be revoked while a router
+ * is partitioned from the platform: a key is accepted only if the configuration was recently proved to be complete,
+ * whatever the router has in memory. Pure; the router decides again before each further attempt.
  */
 import { notRunReasons, type Credential, type Refusal, type Route, type Workspace } from './model';
 import type { RouteTable } from './routeTable';
 
-/** How well the configuration in force is known to be the newest. */
+/** Whether the configuration in force is known to be the newest. */
 export interface ConfigurationFreshness {
-  /** No change has been missed that was acknowledged longer ago than the bound for keys that are taken away. */
+  /** No change is missing that was acknowledged longer ago than the bound for revoked keys. */
   isProved: boolean;
-  /** Another router has seen a newer configuration, which is on its way here. */
+  /** Another router has seen a newer configuration, which has not arrived here yet. */
   isBehind: boolean;
 }
 
 export interface AccessQuery {
   table: RouteTable;
-  /** Undefined where no route matches: then a key is needed, so that strangers learn nothing of the routes. */
+  /** Undefined if no route matches: a key is then required, so that callers without one cannot probe for routes. */
   route: Route | undefined;
   credential: Credential;
   freshness: ConfigurationFreshness;
 }
 
 export type AccessDecision =
-  /** `workspace` is absent where the route needs no key, or where the configuration has no workspaces. */
+  /** `workspace` may be absent if the route needs no key, and is if the configuration has no workspaces. */
   { kind: 'granted'; workspace?: Workspace } | { kind: 'refused'; refusal: Refusal };
 
-/** About the time of a look at the store. Another router may be asked at once, so callers need not wait longer. */
-const freshAgainMs = 200;
+/**
+ * About the duration of one call to the store. Callers may try another router at once, so a longer wait is not needed.
+ */
+const staleRetryAfterMs = 200;
 
 export function decideAccess({ table, route, credential, freshness }: AccessQuery): AccessDecision {
   if (table.configuration.workspaces === undefined) {
@@ -37,10 +39,13 @@
   if (route?.needsNoKey) {
     return { kind: 'granted', workspace };
   }
-  // A key that was taken away would still open, and one that was just given would be refused for good.
+  // Otherwise a revoked key would still be accepted, or a newly issued one refused with a final error.
   if (!freshness.isProved || (workspace === undefined && freshness.isBehind)) {
     const reason = notRunReasons.staleConfiguration;
-    return { kind: 'refused', refusal: { kind: 'not-run', reason, retryAfterMs: freshAgainMs } };
+    return {
+      kind: 'refused',
+      refusal: { kind: 'not-run', reason, retryAfterMs: staleRetryAfterMs },
+    };
   }
   return workspace === undefined
     ? { kind: 'refused', refusal: { kind: 'unknown-key' } }
