--- a/packages/routing/__tests__/fleetPart.test.ts
+++ b/packages/routing/__tests__/fleetPart.test.ts
@@ -30,24 +30,24 @@
 
 function createFleet(addresses: readonly string[], directory: ServerDirectory): FleetPart[] {
   return addresses.map((address) => {
-    const part = createFleetPart({ directory });
-    part.setRouters(address, addresses);
-    return part;
+    const shard = createFleetPart({ directory });
+    shard.setRouters(address, addresses);
+    return shard;
   });
 }
 
 const idsOf = (servers: readonly BackendServer[]) => servers.map(({ id }) => id);
 
-test('in a small fleet every router uses every server and hears every other', (t) => {
+test('in a small fleet every router uses every server and exchanges state with every other', (t) => {
   const addresses = addressesOf(21);
-  createFleet(addresses, createDirectory(27)).forEach((part, index) => {
-    t.is(part.usable('s', 'decode').length, 27);
-    t.deepEqual(part.spare('s', 'decode'), []);
-    t.deepEqual([...part.companions(), addresses[index]].sort(), [...addresses].sort());
+  createFleet(addresses, createDirectory(27)).forEach((shard, index) => {
+    t.is(shard.usable('s', 'decode').length, 27);
+    t.deepEqual(shard.spare('s', 'decode'), []);
+    t.deepEqual([...shard.companions(), addresses[index]].sort(), [...addresses].sort());
   });
 });
 
-test('a large fleet is divided evenly: every server has a part, and all its routers hear each other', (t) => {
+test('a large fleet is divided evenly: every server has a shard whose routers all exchange state', (t) => {
   fc.assert(
     fc.property(
       fc.integer({ min: 41, max: 400 }),
@@ -55,16 +55,16 @@
       (routerCount, serverCount) => {
         const addresses = addressesOf(routerCount);
         const fleet = createFleet(addresses, createDirectory(serverCount));
-        t.true(fleet.every((part) => part.companions().length < 40));
-        const used = new Set(fleet.flatMap((part) => idsOf(part.usable('s', 'decode'))));
+        t.true(fleet.every((shard) => shard.companions().length < 40));
+        const used = new Set(fleet.flatMap((shard) => idsOf(shard.usable('s', 'decode'))));
         t.is(used.size, serverCount);
-        const sizes = fleet.map((part) => part.usable('s', 'decode').length);
+        const sizes = fleet.map((shard) => shard.usable('s', 'decode').length);
         t.true(Math.max(...sizes) - Math.min(...sizes) <= 1);
-        fleet.forEach((part, index) =>
-          part.companions().forEach((companion) => {
+        fleet.forEach((shard, index) =>
+          shard.companions().forEach((companion) => {
             const other = fleet[addresses.indexOf(companion)];
             t.true(other?.companions().includes(addresses[index] ?? ''));
-            t.deepEqual(other?.usable('s', 'decode'), part.usable('s', 'decode'));
+            t.deepEqual(other?.usable('s', 'decode'), shard.usable('s', 'decode'));
           }),
         );
       },
@@ -73,40 +73,40 @@
   );
 });
 
-test('spare servers are those of another part', (t) => {
-  createFleet(addressesOf(100), createDirectory(200)).forEach((part) => {
-    const own = new Set(idsOf(part.usable('s', 'decode')));
-    const spare = idsOf(part.spare('s', 'decode'));
+test('spare servers belong to another shard', (t) => {
+  createFleet(addressesOf(100), createDirectory(200)).forEach((shard) => {
+    const own = new Set(idsOf(shard.usable('s', 'decode')));
+    const spare = idsOf(shard.spare('s', 'decode'));
     t.true(spare.length > 0);
     t.false(spare.some((id) => own.has(id)));
   });
 });
 
-test('a server that comes or goes moves few others between parts', (t) => {
+test('adding or removing a server moves few others between shards', (t) => {
   const directory = createDirectory(200);
   const fleet = createFleet(addressesOf(100), directory);
-  const before = fleet.map((part) => idsOf(part.usable('s', 'decode')));
+  const before = fleet.map((shard) => idsOf(shard.usable('s', 'decode')));
   directory.remove('w17');
-  fleet.forEach((part, index) => {
-    const after = new Set(idsOf(part.usable('s', 'decode')));
+  fleet.forEach((shard, index) => {
+    const after = new Set(idsOf(shard.usable('s', 'decode')));
     const lost = (before[index] ?? []).filter((id) => !after.has(id));
     t.true(lost.length <= 2, `lost ${lost.length}`);
   });
 });
 
-test('a server that drains is used by no part at once', (t) => {
+test('a draining server is immediately unused in all shards', (t) => {
   const directory = createDirectory(200);
   const fleet = createFleet(addressesOf(100), directory);
   directory.put({ ...server(17), isDraining: true });
-  t.false(fleet.some((part) => idsOf(part.usable('s', 'decode')).includes('w17')));
+  t.false(fleet.some((shard) => idsOf(shard.usable('s', 'decode')).includes('w17')));
 });
 
-test('a fleet that shrinks and grows by a few keeps its parts', (t) => {
+test('a fleet that shrinks and grows by a few routers keeps its shards', (t) => {
   const directory = createDirectory(60);
-  const part = createFleetPart({ directory });
+  const shard = createFleetPart({ directory });
   const counts = [40, 41, 38, 41, 25, 23].map((routerCount) => {
-    part.setRouters('10.0.0.1:7000', addressesOf(routerCount));
-    return part.partCount();
+    shard.setRouters('10.0.0.1:7000', addressesOf(routerCount));
+    return shard.partCount();
   });
   t.deepEqual(counts, [1, 2, 2, 2, 2, 1]);
 });
--- a/packages/routing/__tests__/fleetShares.test.ts
+++ b/packages/routing/__tests__/fleetShares.test.ts
@@ -7,17 +7,17 @@
   return createFleetShares({ fleetPart, routerCount: () => routerCount });
 }
 
-test('a router that knows no other takes a fixed part only', (t) => {
+test('a router that knows no other is capped at a fixed share', (t) => {
   t.is(sharesOf({}).connections(96), 12);
   t.is(sharesOf({}).furtherAttempts(160), 10);
 });
 
-test('parts shrink with the routers that use the same servers', (t) => {
+test('shares shrink with the number of routers that use the same servers', (t) => {
   t.is(sharesOf({ companions: 23 }).connections(480), 15);
   t.is(sharesOf({ companions: 23, partCount: 2 }).connections(480), 7);
   t.is(sharesOf({ routerCount: 24 }).furtherAttempts(160), 5);
 });
 
-test('a router always has connections to call a server and to ask how it is', (t) => {
+test('a router always has connections to call a server and to poll its load', (t) => {
   t.is(sharesOf({ companions: 99 }).connections(96), 2);
 });
--- a/packages/routing/__tests__/peerExchange.test.ts
+++ b/packages/routing/__tests__/peerExchange.test.ts
@@ -3,13 +3,13 @@
 import { createEngineLoads, startPeerExchange } from '@bluebellhitch/routing';
 import { createLogger } from '@bluebellhitch/telemetry';
 
-const still = { promptTokens: 3_000, emittedTokens: 0, medianOutputTokens: 0 };
+const idleStream = { promptTokens: 3_000, emittedTokens: 0, medianOutputTokens: 0 };
 const logger = createLogger({ binary: 'test', instanceId: 't', write: () => undefined });
 
 async function startRouter(t: ExecutionContext, seedAddresses: string[] = []) {
-  const told: ToldChanges[] = [];
-  let noteChange: (serverId: string) => void = () => undefined;
-  const loads = createEngineLoads({ onOwnChange: (serverId) => noteChange(serverId) });
+  const received: ToldChanges[] = [];
+  let noteUseChanged: (serverId: string) => void = () => undefined;
+  const loads = createEngineLoads({ onOwnChange: (serverId) => noteUseChanged(serverId) });
   const exchange = await startPeerExchange({
     host: '127.0.0.1',
     port: 0,
@@ -19,12 +19,12 @@
     onPeerGone: loads.dropPeer,
     seenRevisions: () => [],
     onPeerRevisions: () => undefined,
-    onToldChanges: (changes) => told.push(changes),
+    onToldChanges: (changes) => received.push(changes),
     logger,
   });
-  noteChange = exchange.noteChange;
+  noteUseChanged = exchange.noteChange;
   t.teardown(exchange.close);
-  return { loads, exchange, told };
+  return { loads, exchange, received };
 }
 
 async function until(condition: () => boolean): Promise<void> {
@@ -34,16 +34,16 @@
     });
   }
   if (!condition()) {
-    throw new Error('the condition did not come about');
+    throw new Error('the condition was not met within 1000 checks');
   }
 }
 
-test('what one router has in progress counts at the others, until it ends or the router stops', async (t) => {
+test('work in progress at one router counts at the others until it ends or the router stops', async (t) => {
   const first = await startRouter(t);
   const second = await startRouter(t, [first.exchange.address]);
   await until(() => first.exchange.livePeers().length === 1);
   await until(() => second.exchange.livePeers().length === 1);
-  const { release } = first.loads.place('e', still);
+  const { release } = first.loads.place('e', idleStream);
   first.loads.beginPrefill('p', 500);
   await until(() => second.loads.forecast('e', 10_000).freeTokens() === 7_000);
   await until(() => second.loads.prefillBacklogTokens('p') === 500);
@@ -54,7 +54,7 @@
   t.pass();
 });
 
-test('routers that know one router get to know each other', async (t) => {
+test('routers that share one seed discover each other', async (t) => {
   const seed = await startRouter(t);
   const others = [
     await startRouter(t, [seed.exchange.address]),
@@ -64,7 +64,7 @@
   t.pass();
 });
 
-test('a seed that is gone and bytes that are no message do no harm', async (t) => {
+test('an unreachable seed and malformed datagrams do no harm', async (t) => {
   const router = await startRouter(t, ['127.0.0.1:9']);
   const { createSocket } = await import('node:dgram');
   const socket = createSocket('udp4');
@@ -79,9 +79,9 @@
   t.deepEqual(router.exchange.livePeers(), []);
 });
 
-test('a router that starts later learns what others had in progress before', async (t) => {
+test('a router that starts later learns what others already have in progress', async (t) => {
   const first = await startRouter(t);
-  first.loads.place('e', still);
+  first.loads.place('e', idleStream);
   const second = await startRouter(t, [first.exchange.address]);
   await until(() => second.loads.forecast('e', 10_000).freeTokens() === 7_000);
   t.pass();
@@ -96,22 +96,22 @@
   changes: [{ kind: 'put', key: 'w1', revision: 8, value: 'x'.repeat(valueLength) }],
 });
 
-test('what the store has shown one router reaches the others', async (t) => {
+test('changes in the store are relayed to the other routers', async (t) => {
   const first = await startRouter(t);
   const second = await startRouter(t, [first.exchange.address]);
   await until(() => first.exchange.livePeers().length === 1);
   first.exchange.tellChanges(changesOf(10));
-  await until(() => second.told.length === 1);
-  t.deepEqual(second.told, [changesOf(10)]);
+  await until(() => second.received.length === 1);
+  t.deepEqual(second.received, [changesOf(10)]);
 });
 
-test('changes too large for a datagram are announced only', async (t) => {
-  // Callers of new routes would get 404 for a minute: a configuration of hundreds of routes does not fit a datagram, and
-  // routers that leave the watching to others would not hear that there is one.
+test('changes too large for a datagram are relayed without their objects', async (t) => {
+  // Otherwise callers of new routes get 404 for a minute: a configuration of hundreds of routes does not fit into a
+  // datagram, and routers that leave the watching to relays would not learn of it.
   const first = await startRouter(t);
   const second = await startRouter(t, [first.exchange.address]);
   await until(() => first.exchange.livePeers().length === 1);
   first.exchange.tellChanges(changesOf(200_000));
-  await until(() => second.told.length === 1);
-  t.like(second.told[0], { fromRevision: 9, toRevision: 9, changes: [] });
+  await until(() => second.received.length === 1);
+  t.like(second.received[0], { fromRevision: 9, toRevision: 9, changes: [] });
 });
--- a/packages/routing/__tests__/quietWatch.test.ts
+++ b/packages/routing/__tests__/quietWatch.test.ts
@@ -2,13 +2,13 @@
 import test from 'ava';
 import { startQuietWatch, type QuietWatchOptions } from '../src/quietWatch';
 
-function watchInPausedTime(
+function watchWithFakeTimers(
   isServerSilent: boolean,
   act: (clock: FakeTimers.Clock, note: () => void) => void,
   over: Partial<QuietWatchOptions> = {},
 ) {
   const clock = FakeTimers.install({ toFake: ['setInterval', 'clearInterval', 'performance'] });
-  let goneAtMs: number | undefined;
+  let lostAtMs: number | undefined;
   try {
     const watch = startQuietWatch({
       quietMs: 2_000,
@@ -16,7 +16,7 @@
       isServerSilent: () => isServerSilent,
       isServerRestarted: () => false,
       onGone() {
-        goneAtMs ??= clock.now;
+        lostAtMs ??= clock.now;
       },
       ...over,
     });
@@ -25,48 +25,48 @@
   } finally {
     clock.uninstall();
   }
-  return goneAtMs;
+  return lostAtMs;
 }
 
 test.serial(
-  'a run that shows nothing is gone after its time, sooner where its server is silent',
+  'a run without progress is lost after its timeout, sooner if its server is unresponsive',
   (t) => {
     const wait = (clock: FakeTimers.Clock) => clock.tick(5_000);
-    const alone = watchInPausedTime(false, wait) ?? 0;
-    const silent = watchInPausedTime(true, wait) ?? 0;
+    const alone = watchWithFakeTimers(false, wait) ?? 0;
+    const unresponsive = watchWithFakeTimers(true, wait) ?? 0;
     t.true(alone >= 2_000 && alone <= 2_100);
-    t.true(silent >= 400 && silent <= 600);
+    t.true(unresponsive >= 400 && unresponsive <= 600);
   },
 );
 
-test.serial('progress starts the time anew', (t) => {
-  const goneAtMs = watchInPausedTime(false, (clock, note) => {
+test.serial('progress restarts the timeout', (t) => {
+  const lostAtMs = watchWithFakeTimers(false, (clock, note) => {
     clock.tick(1_500);
     note();
     clock.tick(1_900);
     note();
     clock.tick(3_000);
   });
-  t.true((goneAtMs ?? 0) >= 5_400);
+  t.true((lostAtMs ?? 0) >= 5_400);
 });
 
-test.serial('a pause of the process itself is not held against the run', (t) => {
-  // A stream that goes on would be broken off and begun again elsewhere. The process stands still for seconds; what
-  // came meanwhile has not been read yet.
-  const goneAtMs = watchInPausedTime(true, (clock, note) => {
+test.serial('a pause of the process itself does not count as a stall', (t) => {
+  // Otherwise a healthy stream is aborted and restarted elsewhere: the process is suspended for seconds, and the data
+  // that arrived meanwhile has not been read yet.
+  const lostAtMs = watchWithFakeTimers(true, (clock, note) => {
     clock.tick(200);
     clock.jump(4_000);
     note();
     clock.tick(200);
   });
-  t.is(goneAtMs, undefined);
+  t.is(lostAtMs, undefined);
 });
 
-test.serial('a run of a server that has started again is gone at once', (t) => {
-  // A caller would wait to its deadline: the server crashed and is back under its name, and holds nothing of before, but
-  // the connection to its former life does not break.
+test.serial('a run of a server that has restarted is lost at once', (t) => {
+  // Otherwise the caller waits until its deadline: the server crashed and is registered again under its name without
+  // its former state, but the connection to its former incarnation does not break.
   let isRestarted = false;
-  const goneAtMs = watchInPausedTime(
+  const lostAtMs = watchWithFakeTimers(
     false,
     (clock, note) => {
       clock.tick(1_000);
@@ -76,12 +76,12 @@
     },
     { quietMs: undefined, isServerRestarted: () => isRestarted },
   );
-  t.true((goneAtMs ?? 0) >= 1_000 && (goneAtMs ?? 0) <= 1_100);
+  t.true((lostAtMs ?? 0) >= 1_000 && (lostAtMs ?? 0) <= 1_100);
 });
 
-test.serial('a run that can not go on elsewhere is left to a server that answers others', (t) => {
-  // A caller would lose a stream that only pauses: its engine is short of memory and takes it up again.
+test.serial('a run that cannot continue elsewhere is left to a server that is responsive', (t) => {
+  // Otherwise the caller loses a stream that is only paused: its engine is short of memory and will resume it.
   const wait = (clock: FakeTimers.Clock) => clock.tick(10_000);
-  t.is(watchInPausedTime(false, wait, { quietMs: undefined }), undefined);
-  t.true((watchInPausedTime(true, wait, { quietMs: undefined }) ?? Infinity) <= 600);
+  t.is(watchWithFakeTimers(false, wait, { quietMs: undefined }), undefined);
+  t.true((watchWithFakeTimers(true, wait, { quietMs: undefined }) ?? Infinity) <= 600);
 });
--- a/packages/routing/__tests__/quotaExchange.test.ts
+++ b/packages/routing/__tests__/quotaExchange.test.ts
@@ -21,11 +21,11 @@
 interface Pair {
   clock: Clock;
   routers: readonly [QuotaExchange, QuotaExchange];
-  /** Bytes that were sent, by their sender. */
+  /** Sent datagrams, indexed by sender. */
   sent: Buffer[][];
 }
 
-/** Two routers that have known each other for long; what one sends the other has at once. */
+/** Creates two routers that already know each other; datagrams arrive immediately. */
 function withPair(check: (pair: Pair) => void): void {
   const clock = FakeTimers.install();
   const addresses = ['10.0.0.1:7400', '10.0.0.2:7400'] as const;
@@ -46,15 +46,15 @@
       slack,
     });
   const routers: [QuotaExchange, QuotaExchange] = [make(0), make(1)];
-  const hear = () =>
+  const exchangeContacts = () =>
     routers.forEach((router, own) => router.noteHeard(addresses[1 - own] as string));
   try {
     routers.forEach((router, own) => router.setRouters([addresses[1 - own] as string], 2));
     [0, 1, 2].forEach(() => {
-      hear();
+      exchangeContacts();
       clock.tick(1_000);
     });
-    hear();
+    exchangeContacts();
     routers.forEach((router) => router.setWorkspaces([bonds]));
     check({ clock, routers, sent });
   } finally {
@@ -63,7 +63,7 @@
   }
 }
 
-test('what one router admits is missing at the other within milliseconds', (t) => {
+test('what one router admits is deducted at the other within milliseconds', (t) => {
   withPair(({ clock, routers: [first, second] }) => {
     t.is(first.charge(bonds, model).kind, 'charged');
     t.is(first.charge(bonds, model).kind, 'charged');
@@ -77,7 +77,7 @@
   });
 });
 
-test('a plain request counts as the workspace says, and what has not run is given back', (t) => {
+test('a plain request costs what the workspace states, and is refunded if it has not run', (t) => {
   withPair(({ routers: [first] }) => {
     const outcomes = Array.from({ length: 20 }, () => first.charge(bonds, plain));
     t.true(outcomes.every(({ kind }) => kind === 'charged'));
@@ -90,7 +90,7 @@
   });
 });
 
-test('a workspace without a quota is neither limited nor told of', (t) => {
+test('a workspace without a quota is neither limited nor announced', (t) => {
   withPair(({ clock, routers: [first], sent }) => {
     const before = sent[0]?.length;
     const open = { ...bonds, name: 'open', quota: undefined };
@@ -101,7 +101,7 @@
   });
 });
 
-test('an old message changes nothing, whatever order messages come in', (t) => {
+test('an outdated message changes nothing, whatever order messages arrive in', (t) => {
   withPair(({ clock, routers: [first, second], sent }) => {
     first.charge(bonds, model);
     clock.tick(5);
--- a/packages/routing/__tests__/serverLimits.test.ts
+++ b/packages/routing/__tests__/serverLimits.test.ts
@@ -10,19 +10,19 @@
 interface Fleet {
   clock: Clock;
   routers: ServerLimits[];
-  /** Kinds of the datagrams that were sent. */
+  /** Kinds of the sent datagrams. */
   sent: string[];
-  /** What is sent from now on is lost. */
-  cut(): void;
-  heal(): void;
+  /** Loses all datagrams sent from now on. */
+  dropDatagrams(): void;
+  deliverDatagrams(): void;
 }
 
-/** Routers that have known each other for long; a datagram is on its way for 2 ms. */
+/** Creates routers that already know each other; a datagram takes 2 ms. */
 async function withFleet(count: number, check: (fleet: Fleet) => Promise<void>): Promise<void> {
   const clock = FakeTimers.install();
   const addresses = Array.from({ length: count }, (_none, at) => `10.0.0.${at + 1}:7400`);
   const sent: string[] = [];
-  let isCut = false;
+  let isDropping = false;
   const routers = addresses.map((address) =>
     createServerLimits({
       channel: () => ({
@@ -31,7 +31,7 @@
           const message = decodeLimitMessage(bytes);
           to.forEach((other) => {
             sent.push(message?.kind ?? 'unreadable');
-            if (message !== undefined && !isCut) {
+            if (message !== undefined && !isDropping) {
               setTimeout(() => routers[addresses.indexOf(other)]?.receive(message), 2);
             }
           });
@@ -54,11 +54,11 @@
       clock,
       routers,
       sent,
-      cut() {
-        isCut = true;
+      dropDatagrams() {
+        isDropping = true;
       },
-      heal() {
-        isCut = false;
+      deliverDatagrams() {
+        isDropping = false;
       },
     });
   } finally {
@@ -67,14 +67,14 @@
   }
 }
 
-const name = (router: ServerLimits | undefined, requestsPerSecond: number) =>
+const stateLimit = (router: ServerLimits | undefined, requestsPerSecond: number) =>
   router?.note(server, requestsPerSecond);
 
 test.serial(
-  'a limit that one router reads holds at the others within milliseconds, and so does its end',
+  'a limit that one router reads, and its end, apply at the others within milliseconds',
   async (t) => {
     await withFleet(24, async ({ clock, routers }) => {
-      name(routers[0], 2);
+      stateLimit(routers[0], 2);
       clock.tick(10);
       t.true(routers.every((router) => !router.take('s')));
       routers[3]?.note(server);
@@ -84,13 +84,13 @@
   },
 );
 
-test.serial('news that are lost are told again', async (t) => {
-  // Routers that were not told would send as before, and each would have to be told by the server.
-  await withFleet(24, async ({ clock, routers, cut, heal }) => {
-    cut();
-    name(routers[0], 2);
+test.serial('lost announcements are repeated', async (t) => {
+  // Otherwise routers that missed the announcement keep sending until each has read the limit from the server itself.
+  await withFleet(24, async ({ clock, routers, dropDatagrams, deliverDatagrams }) => {
+    dropDatagrams();
+    stateLimit(routers[0], 2);
     clock.tick(10);
-    heal();
+    deliverDatagrams();
     t.true(routers[1]?.take('s'));
     clock.tick(2_000);
     t.true(routers.slice(1).every((router) => !router.mayTake('s') || router.waitMs('s') === 0));
@@ -98,20 +98,24 @@
   });
 });
 
-test.serial('a router that reads what it has been told tells nobody', async (t) => {
-  // All routers get answers of the same server: if each told all, a fleet of 359 would send 128,000 datagrams at once.
-  await withFleet(24, async ({ clock, routers, sent }) => {
-    name(routers[0], 2);
-    clock.tick(10);
-    routers.slice(1).forEach((router) => name(router, 2));
-    clock.tick(10);
-    t.is(sent.length, 23);
-  });
-});
+test.serial(
+  'a router that reads a limit already announced to it does not announce it again',
+  async (t) => {
+    // All routers get responses of the same server: if each announced its limit to all others, a fleet of 359 would send
+    // 128,000 datagrams at once.
+    await withFleet(24, async ({ clock, routers, sent }) => {
+      stateLimit(routers[0], 2);
+      clock.tick(10);
+      routers.slice(1).forEach((router) => stateLimit(router, 2));
+      clock.tick(10);
+      t.is(sent.length, 23);
+    });
+  },
+);
 
-test.serial('a router that issues none has one granted where an issuer has one', async (t) => {
+test.serial('a router that issues no permits is granted one if an issuer has one', async (t) => {
   await withFleet(24, async ({ clock, routers }) => {
-    name(routers[0], 2);
+    stateLimit(routers[0], 2);
     clock.tick(5_000);
     routers.forEach((router) => router.mayTake('s'));
     clock.tick(3_000);
@@ -124,10 +128,10 @@
   });
 });
 
-test.serial('issuers that have none are not asked again before they may have one', async (t) => {
-  // While a server's callers flood the fleet, each request would cost two questions.
+test.serial('issuers without a permit are not asked again before they may have one', async (t) => {
+  // Otherwise each request costs two questions while callers flood the fleet with requests for the server.
   await withFleet(24, async ({ clock, routers, sent }) => {
-    name(routers[0], 2);
+    stateLimit(routers[0], 2);
     clock.tick(10);
     const other = routers.find((router) => router.waitMs('s') === 500) as ServerLimits;
     const ask = async () => {
@@ -144,11 +148,11 @@
   });
 });
 
-test.serial('an issuer that does not answer holds a request up for a moment only', async (t) => {
-  await withFleet(24, async ({ clock, routers, cut }) => {
-    name(routers[0], 2);
+test.serial('an issuer that does not answer delays a request only briefly', async (t) => {
+  await withFleet(24, async ({ clock, routers, dropDatagrams }) => {
+    stateLimit(routers[0], 2);
     clock.tick(10);
-    cut();
+    dropDatagrams();
     const other = routers.find((router) => router.waitMs('s') === 500) as ServerLimits;
     const asked = other.request('s');
     await clock.tickAsync(125);
@@ -156,8 +160,8 @@
   });
 });
 
-test.serial('what others say of servers that are not listed is not kept', async (t) => {
-  // Anything may arrive at the port, and state must not grow with made-up names.
+test.serial('announcements about unlisted servers are ignored', async (t) => {
+  // Any datagram may arrive at the port, and state must not grow with forged names.
   await withFleet(2, async ({ routers: [router] }) => {
     const limits = [{ serverId: 'unlisted', requestsPerSecond: 0, ageMs: 0 }];
     router?.receive({ kind: 'limit-news', limits });
--- a/packages/routing/src/fleetPart.ts
+++ b/packages/routing/src/fleetPart.ts
@@ -1,9 +1,10 @@
 /**
- * The part of a large fleet that a router keeps to. Routers that place work at the same servers have to hear of each
- * other's, and what each says and looks at would grow with the fleet. So routers and servers are divided into as
- * many parts: a router uses the servers of its own part, and those of one other where most of its own have failed. Each
- * works the division out from addresses and ids alone. Where views differ for a moment, a few servers have users
- * that do not hear each other; the servers' own reservations keep what must hold.
+ * Assigns a router to a shard of a large fleet. Routers that place work at the same servers have to exchange their
+ * state, so messages and placement cost per router would grow with the fleet. Routers and servers are therefore
+ * divided into the same number of shards: a router uses the servers of its own shard, and those of one other shard if
+ * most of its own have failed. Every router computes the assignment from addresses and ids alone. While views differ,
+ * a few servers are used by routers that do not exchange state; the servers' own reservations still enforce the
+ * limits.
  */
 import { hash64 } from '@bluebellhitch/shared';
 import type { BackendServer, Stage } from './model';
@@ -13,34 +14,35 @@
   directory: ServerDirectory;
 }
 
-/** Where work may go: the servers of a router's own part, and the spare ones. */
+/** The servers that a router may use: those of its own shard, and spare ones. */
 export interface ServerPools {
   /** Servers that may get new requests. */
   usable(serviceName: string, stage?: Stage): readonly BackendServer[];
-  /** Servers of another part, for when most of the own have failed; none in a small fleet. */
+  /** Servers of another shard, for use when most servers of the own shard have failed; empty in a small fleet. */
   spare(serviceName: string, stage?: Stage): readonly BackendServer[];
 }
 
 export interface FleetPart extends ServerPools {
-  /** Takes the addresses of all routers that are known; `ownAddress` is among them or not. */
+  /** Sets the addresses of all known routers, with or without `ownAddress`. */
   setRouters(ownAddress: string, addresses: readonly string[]): void;
-  /** The other routers of this one's part. */
+  /** The other routers of this one's shard. */
   companions(): readonly string[];
   partCount(): number;
 }
 
 /**
- * Bounds what a router says. Of 21 routers each telling 16, many streams were placed where others had just placed
- * theirs: a part of the others is worth little more than none, so a part has all of its routers hear each other. Larger
- * parts lend each other room: in replays of 68 routers two parts served 2,926 of 2,981 streams on time, four 2,896.
+ * Bounds the messages that a router sends. When each of 21 routers sent its state to only 16, many streams were placed
+ * where other routers had just placed theirs: knowing some of the others is little better than knowing none, so all
+ * routers of a shard exchange state. Larger shards share capacity better: in replays of 68 routers, two shards served
+ * 2,926 of 2,981 streams on time, four shards 2,896.
  */
-const mostRouters = 40;
-/** A fleet that shrinks keeps its parts until they are this small, so that they do not change to and fro. */
-const fewestRouters = 12;
-/** A pool is divided no further than this: one server that fails must not be a large share of its part. */
-const fewestServers = 8;
+const maxRoutersPerShard = 40;
+/** A shrinking fleet keeps its shards until they are this small: the hysteresis prevents repeated resharding. */
+const minRoutersPerShard = 12;
+/** A pool is not divided into smaller shards: one failed server must not be a large share of its shard. */
+const minServersPerShard = 8;
 
-interface Division {
+interface CachedPools {
   directoryVersion: number;
   routersVersion: number;
   own: readonly BackendServer[];
@@ -49,57 +51,63 @@
 
 export function createFleetPart({ directory }: FleetPartOptions): FleetPart {
   const weights = new Map<string, number>();
-  const divisions = new Map<string, Division>();
-  let count = 1;
-  let ownPart = 0;
-  let companions: readonly string[] = [];
+  const cachedPools = new Map<string, CachedPools>();
+  let shardCount = 1;
+  let ownShard = 0;
+  let peers: readonly string[] = [];
   let routersVersion = 0;
 
-  /** Of a server that is listed; others are forgotten. */
+  /** Caches the weight of a listed server; those of removed servers are dropped in `forgetRemoved`. */
   function weightOf(id: string): number {
     const known = weights.get(id);
     if (known !== undefined) {
       return known;
     }
-    const weight = weigh(id);
+    const weight = hashWeight(id);
     weights.set(id, weight);
     return weight;
   }
 
-  function divideRouters(ownAddress: string, addresses: readonly string[]): void {
-    const routers = orderByWeight([...new Set([ownAddress, ...addresses])], weigh);
-    count = nextCount(count, routers.length);
-    ownPart = partOf(routers.indexOf(ownAddress), routers.length, count);
-    const next = slicePart(routers, ownPart, count).filter((address) => address !== ownAddress);
-    companions = next;
+  function assignRouters(ownAddress: string, addresses: readonly string[]): void {
+    const routers = orderByWeight([...new Set([ownAddress, ...addresses])], hashWeight);
+    shardCount = nextShardCount(shardCount, routers.length);
+    ownShard = shardOf(routers.indexOf(ownAddress), routers.length, shardCount);
+    const next = sliceShard(routers, ownShard, shardCount).filter((peer) => peer !== ownAddress);
+    peers = next;
     routersVersion += 1;
   }
 
-  function divide(serviceName: string, stage?: Stage): Division {
+  function poolsOf(serviceName: string, stage?: Stage): CachedPools {
     const key = `${serviceName}/${stage ?? ''}`;
-    const known = divisions.get(key);
+    const cached = cachedPools.get(key);
     const directoryVersion = directory.version();
     if (
-      known?.directoryVersion === directoryVersion &&
-      (known.routersVersion === routersVersion || count === 1)
+      cached?.directoryVersion === directoryVersion &&
+      (cached.routersVersion === routersVersion || shardCount === 1)
     ) {
-      return known;
+      return cached;
     }
-    const division = { directoryVersion, routersVersion, ...cut(serviceName, stage) };
-    divisions.set(key, division);
-    return division;
+    const pools = { directoryVersion, routersVersion, ...splitPool(serviceName, stage) };
+    cachedPools.set(key, pools);
+    return pools;
   }
 
-  function cut(serviceName: string, stage?: Stage): Pick<Division, 'own' | 'spare'> {
+  function splitPool(serviceName: string, stage?: Stage): Pick<CachedPools, 'own' | 'spare'> {
     const pool = directory.usable(serviceName, stage);
-    const poolCount = Math.min(count, Math.max(1, Math.floor(pool.length / fewestServers)));
-    if (poolCount === 1) {
+    const poolShardCount = Math.min(
+      shardCount,
+      Math.max(1, Math.floor(pool.length / minServersPerShard)),
+    );
+    if (poolShardCount === 1) {
       return { own: pool, spare: [] };
     }
     const ordered = orderByWeight(pool, ({ id }) => weightOf(id));
-    const part = Math.floor((ownPart * poolCount) / count);
-    const next = (part + 1) % poolCount;
-    return { own: slicePart(ordered, part, poolCount), spare: slicePart(ordered, next, poolCount) };
+    const shard = Math.floor((ownShard * poolShardCount) / shardCount);
+    const spareShard = (shard + 1) % poolShardCount;
+    return {
+      own: sliceShard(ordered, shard, poolShardCount),
+      spare: sliceShard(ordered, spareShard, poolShardCount),
+    };
   }
 
   function forgetRemoved(): void {
@@ -109,39 +117,39 @@
   }
 
   return {
-    usable: (serviceName, stage) => divide(serviceName, stage).own,
-    spare: (serviceName, stage) => divide(serviceName, stage).spare,
+    usable: (serviceName, stage) => poolsOf(serviceName, stage).own,
+    spare: (serviceName, stage) => poolsOf(serviceName, stage).spare,
     setRouters(ownAddress, addresses) {
-      divideRouters(ownAddress, addresses);
+      assignRouters(ownAddress, addresses);
       forgetRemoved();
     },
-    companions: () => companions,
-    partCount: () => count,
+    companions: () => peers,
+    partCount: () => shardCount,
   };
 }
 
-function nextCount(current: number, routerCount: number): number {
+function nextShardCount(current: number, routerCount: number): number {
   let count = current;
-  while (routerCount > mostRouters * count) {
+  while (routerCount > maxRoutersPerShard * count) {
     count *= 2;
   }
-  while (count > 1 && routerCount < fewestRouters * count) {
+  while (count > 1 && routerCount < minRoutersPerShard * count) {
     count /= 2;
   }
   return count;
 }
 
-/** The part of the member at this place in the order; parts differ by one member at most. */
-function partOf(place: number, size: number, count: number): number {
-  return Math.min(count - 1, Math.floor(((place + 0.5) * count) / size));
+/** The shard of the member at this index in the order; shard sizes differ by at most one. */
+function shardOf(index: number, size: number, count: number): number {
+  return Math.min(count - 1, Math.floor(((index + 0.5) * count) / size));
 }
 
-function slicePart<Member>(
+function sliceShard<Member>(
   ordered: readonly Member[],
-  part: number,
+  shard: number,
   count: number,
 ): readonly Member[] {
-  return ordered.filter((_member, place) => partOf(place, ordered.length, count) === part);
+  return ordered.filter((_member, index) => shardOf(index, ordered.length, count) === shard);
 }
 
 function orderByWeight<Member>(
@@ -154,6 +162,6 @@
     .map(({ member }) => member);
 }
 
-function weigh(text: string): number {
+function hashWeight(text: string): number {
   return Number(BigInt.asUintN(52, hash64(text)));
 }
--- a/packages/routing/src/fleetShares.ts
+++ b/packages/routing/src/fleetShares.ts
@@ -1,20 +1,20 @@
 /**
- * What this router may use of what all may use together: its part by the routers that it knows, and no more than a fixed
- * part, since one that is cut off knows few.
+ * This router's shares of limits that apply to the whole fleet: an equal share among the routers that it knows, capped
+ * at a fixed share because a partitioned router knows only a few.
  */
 import type { FleetPart } from './fleetPart';
 
 export interface FleetSharesOptions {
   fleetPart: Pick<FleetPart, 'companions' | 'partCount'>;
-  /** Of all parts, this one too. */
+  /** Number of routers in all shards, including this one. */
   routerCount: () => number;
 }
 
 export interface FleetShares {
-  /** Of the connections that one server takes from all callers, those that this router may hold. */
-  connections(allTogether: number): number;
-  /** Of the further attempts that all may make in a window besides their share of the requests. */
-  furtherAttempts(allTogether: number): number;
+  /** How many of the connections that one server accepts from all callers this router may hold. */
+  connections(fleetTotal: number): number;
+  /** How many of the further attempts that the fleet may make in a window, beyond the ratio to its requests. */
+  furtherAttempts(fleetTotal: number): number;
 }
 
 const usedShare = 0.75;
@@ -26,14 +26,14 @@
   const ownShare = (users: number, maxShare: number) => Math.min(maxShare, usedShare / users);
 
   return {
-    connections(allTogether) {
-      // Routers of this part and of the one that this part's servers are spare for.
-      const partsTogether = fleetPart.partCount() > 1 ? 2 : 1;
-      const users = partsTogether * (fleetPart.companions().length + 1);
+    connections(fleetTotal) {
+      // Routers of this shard and of the shard that uses this one's servers as spare.
+      const shardsPerServer = fleetPart.partCount() > 1 ? 2 : 1;
+      const users = shardsPerServer * (fleetPart.companions().length + 1);
       const share = ownShare(users, maxConnectionShare);
-      return Math.max(minConnections, Math.floor(allTogether * share));
+      return Math.max(minConnections, Math.floor(fleetTotal * share));
     },
-    furtherAttempts: (allTogether) =>
-      Math.floor(allTogether * ownShare(routerCount(), maxAttemptShare)),
+    furtherAttempts: (fleetTotal) =>
+      Math.floor(fleetTotal * ownShare(routerCount(), maxAttemptShare)),
   };
 }
--- a/packages/routing/src/peerExchange.ts
+++ b/packages/routing/src/peerExchange.ts
@@ -1,8 +1,8 @@
 /**
- * Tells other routers what this one has in progress at the engines, and hears the same of them. Datagrams may
- * be lost or late: each tells amounts, and a heartbeat repeats all of them. What a silent peer said is dropped.
- * In a large fleet the routers of one part tell each other; a few addresses that go to others at random let each
- * know all.
+ * Exchanges with other routers what each has in progress at the engines. Datagrams may be lost or late: they carry
+ * absolute amounts, and some heartbeats repeat all of them. The state of a peer that stops sending is discarded.
+ * In a large fleet only the routers of one shard exchange their state; gossip of a few addresses to random routers of
+ * other shards makes all routers known to each other.
  */
 import {
   decodePeerMessage,
@@ -23,24 +23,24 @@
 
 export interface PeerExchangeOptions {
   host: string;
-  /** The same on all machines; 0 takes a free one. */
+  /** The same on all machines; 0 selects a free port. */
   port: number;
-  /** `ip:port` of routers to begin with; they may be gone. */
+  /** Initial routers as `ip:port`; some may no longer exist. */
   seedAddresses: readonly string[];
   /** What this process has in progress at all engines. */
   ownUse: () => PeerEngineUse[];
   onPeerUse(peerAddress: string, engines: readonly PeerEngineUse[], isFull: boolean): void;
   onPeerGone(peerAddress: string): void;
-  /** What this process has seen of each kind of objects, in a fixed order. */
+  /** The newest revision that this process has seen of each kind of objects, in a fixed order. */
   seenRevisions: () => number[];
-  /** All routers that are known, when they have changed. */
+  /** Receives all known routers whenever they have changed. */
   onRouters?: (ownAddress: string, addresses: readonly string[]) => void;
-  /** The routers to tell what is in progress; all, where it is absent. */
+  /** The routers to which the state is sent; all known ones if absent. */
   companions?: () => readonly string[];
   onPeerRevisions(revisions: readonly number[]): void;
-  /** A companion tells what the store has shown it. */
-  onToldChanges?: (told: ToldChanges) => void;
-  /** Datagrams of other kinds. */
+  /** Receives changes in the store that a shard peer has relayed. */
+  onToldChanges?: (relayed: ToldChanges) => void;
+  /** Receives datagrams of other formats. */
   onOther?: (bytes: Buffer) => void;
   logger: Logger;
   random?: Random;
@@ -49,111 +49,113 @@
 export interface PeerExchange {
   /** `ip:port` of this process. */
   address: string;
-  /** Sends a datagram of another kind. */
+  /** Sends a datagram of another format. */
   send(bytes: Buffer, addresses: readonly string[]): Promise<unknown>;
-  /** Has the change at an engine told within milliseconds. */
+  /** Schedules the changed use of an engine to be sent within milliseconds. */
   noteChange(serverId: string): void;
-  /** Tells companions what the store has shown. */
-  tellChanges(told: ToldChanges): void;
-  /** Further routers to begin with. */
+  /** Relays changes in the store to the live shard peers. */
+  tellChanges(relayed: ToldChanges): void;
+  /** Adds further initial routers. */
   addSeeds(addresses: readonly string[]): void;
-  /** Companions that were heard lately. */
+  /** Shard peers that have sent their state within the peer timeout. */
   livePeers(): string[];
-  /** Routers that somebody has heard lately. */
+  /** Number of routers that any router has recently heard from. */
   knownPeerCount(): number;
   close(): void;
 }
 
 interface Peer {
-  life?: string;
+  incarnation?: string;
   sequence: number;
-  /** By this process or by one that told of it. */
-  heardAtMs: number;
-  /** When it last told what it has in progress. */
-  toldAtMs: number;
+  /** Last message received from it, by this process or by one that reported a sighting. */
+  lastContactAtMs: number;
+  /** When it last sent what it has in progress. */
+  useReceivedAtMs: number;
   isLive: boolean;
-  /** It has not been told all amounts since it was heard. */
-  isNew: boolean;
+  /** It has not been sent the full state since it became live. */
+  needsFullUse: boolean;
 }
 
-/** Changes of this time go into one datagram. */
+/** Changes within this time are sent in one datagram. */
 const coalesceMs = 4;
 const heartbeatMs = 1_000;
 /**
- * Heartbeats between two that repeat all amounts; more where there are more peers to be told, so that their
- * bytes in a second stay about the same.
+ * Every this many heartbeats the full state is sent; less often with more peers, so that the bytes per second stay
+ * about the same.
  */
-const leastBeatsPerFull = 4;
-/** Three heartbeats. */
-const silentMs = 3_200;
+const minHeartbeatsPerFull = 4;
+/** Three heartbeats, and a margin. */
+const peerTimeoutMs = 3_200;
 /**
- * A peer that nobody has heard this long is forgotten. News of a router reaches each of 300 others about four
- * times in this time.
+ * A peer that no router has heard from for this long is removed. In this time a sighting of one router reaches each of
+ * 300 others about four times.
  */
-const forgetMs = 60_000;
-/** Sightings older than this are not passed on: they would keep a router that is gone known for ever. */
-const freshMs = 20_000;
-const sharedAddresses = 10;
-/** Larger changes are announced without their objects, and fetched: a datagram that is cut up is lost more often. */
-const mostToldBytes = 8_192;
-/** Routers of other parts that are told of routers with each heartbeat. */
-const strangersPerBeat = 2;
+const forgetAfterMs = 60_000;
+/** Sightings older than this are not passed on: they would keep a stopped router known for ever. */
+const maxSharedAgeMs = 20_000;
+const sightingsPerMessage = 10;
+/**
+ * Larger changes are relayed without their objects, which peers then fetch: a fragmented datagram is lost more often.
+ */
+const maxRelayBytes = 8_192;
+/** Number of routers of other shards that receive sightings with each heartbeat. */
+const crossShardTargets = 2;
 
-/** Starts the exchange; rejects where the port is taken. */
+/** Starts the exchange; rejects if the port is in use. */
 export async function startPeerExchange(options: PeerExchangeOptions): Promise<PeerExchange> {
   const { logger, random = Math.random } = options;
   const seeds = new Set<string>();
   const socket = await openDatagramSocket({ host: options.host, port: options.port, logger });
   const ownAddress = socket.address;
-  const life = Math.floor(random() * 2 ** 40).toString(36);
+  const incarnation = Math.floor(random() * 2 ** 40).toString(36);
   const peers = new Map<string, Peer>();
-  const changedIds = new Set<string>();
+  const changedServerIds = new Set<string>();
   let sequence = 0;
   let sendTimer: NodeJS.Timeout | undefined;
-  let beatCount = 0;
-  let isMembershipNew = true;
+  let heartbeatCount = 0;
+  let hasMembershipChanged = true;
   let isClosed = false;
 
-  function knowPeer(address: string): Peer {
+  function getOrCreatePeer(address: string): Peer {
     const known = peers.get(address);
     if (known !== undefined) {
       return known;
     }
     const peer = {
       sequence: -1,
-      heardAtMs: monotonicNowMs(),
-      toldAtMs: -Infinity,
+      lastContactAtMs: monotonicNowMs(),
+      useReceivedAtMs: -Infinity,
       isLive: false,
-      isNew: true,
+      needsFullUse: true,
     };
     peers.set(address, peer);
-    isMembershipNew = true;
+    hasMembershipChanged = true;
     return peer;
   }
 
-  /** Those that this process tells what it has in progress. */
-  function neighbours(): string[] {
+  /** The routers to which this process sends what it has in progress. */
+  function targetPeers(): string[] {
     return [...(options.companions?.() ?? peers.keys())];
   }
 
-  function noteMembership(): void {
-    if (isMembershipNew) {
-      isMembershipNew = false;
+  function reportMembership(): void {
+    if (hasMembershipChanged) {
+      hasMembershipChanged = false;
       options.onRouters?.(ownAddress, [...peers.keys()]);
     }
   }
 
-  /** A sighting by another process; ages keep one that is gone from being passed around. */
+  /** Records a sighting by another process; its age keeps a stopped router from being passed around. */
   function noteSighting({ address, ageMs }: PeerSighting): void {
-    if (address === ownAddress || ageMs > forgetMs) {
+    if (address === ownAddress || ageMs > forgetAfterMs) {
       return;
     }
-    const heardAtMs = monotonicNowMs() - ageMs;
+    const lastContactAtMs = monotonicNowMs() - ageMs;
     const known = peers.get(address);
     if (known === undefined) {
-      knowPeer(address).heardAtMs = heardAtMs;
+      getOrCreatePeer(address).lastContactAtMs = lastContactAtMs;
     } else {
-      known.heardAtMs = Math.max(known.heardAtMs, heardAtMs);
+      known.lastContactAtMs = Math.max(known.lastContactAtMs, lastContactAtMs);
     }
   }
 
@@ -161,12 +163,12 @@
     isFull: boolean,
     engines: PeerEngineUse[],
     addresses: readonly string[],
-    sightings: PeerSighting[] = isFull ? someSightings() : [],
+    sightings: PeerSighting[] = isFull ? sampleSightings() : [],
   ): Promise<unknown> {
     sequence += 1;
     const message: PeerMessage = {
       senderAddress: ownAddress,
-      life,
+      life: incarnation,
       sequence,
       isFull,
       engines,
@@ -176,12 +178,12 @@
     return socket.send(encodePeerMessage(message), addresses);
   }
 
-  function tellChanges(told: ToldChanges): void {
-    const whole = encodeToldChanges(told);
+  function tellChanges(relayed: ToldChanges): void {
+    const complete = encodeToldChanges(relayed);
     const bytes =
-      whole.length <= mostToldBytes
-        ? whole
-        : encodeToldChanges({ ...told, fromRevision: told.toRevision, changes: [] });
+      complete.length <= maxRelayBytes
+        ? complete
+        : encodeToldChanges({ ...relayed, fromRevision: relayed.toRevision, changes: [] });
     void socket.send(bytes, livePeers());
   }
 
@@ -190,26 +192,26 @@
       .filter((address) => address !== ownAddress)
       .forEach((address) => {
         seeds.add(address);
-        knowPeer(address);
+        getOrCreatePeer(address);
       });
   }
 
   function livePeers(): string[] {
-    return neighbours().filter((address) => peers.get(address)?.isLive);
+    return targetPeers().filter((address) => peers.get(address)?.isLive);
   }
 
-  function someSightings(): PeerSighting[] {
+  function sampleSightings(): PeerSighting[] {
     const nowMs = monotonicNowMs();
     const fresh = [...peers].filter(
-      ([, peer]) => peer.life !== undefined && nowMs - peer.heardAtMs < freshMs,
+      ([, peer]) => peer.incarnation !== undefined && nowMs - peer.lastContactAtMs < maxSharedAgeMs,
     );
-    return someOf(fresh, sharedAddresses).map(([address, { heardAtMs }]) => ({
+    return sample(fresh, sightingsPerMessage).map(([address, { lastContactAtMs }]) => ({
       address,
-      ageMs: Math.max(0, nowMs - heardAtMs),
+      ageMs: Math.max(0, nowMs - lastContactAtMs),
     }));
   }
 
-  function someOf<Item>(items: readonly Item[], count: number): Item[] {
+  function sample<Item>(items: readonly Item[], count: number): Item[] {
     return items
       .map((item) => ({ item, order: random() }))
       .sort((left, right) => left.order - right.order)
@@ -218,63 +220,63 @@
   }
 
   /** So that parts hear of each other's routers, and of changes that one of them has seen. */
-  function tellStrangers(near: readonly string[]): void {
-    const known = new Set(near);
+  function gossipAcrossShards(shardPeers: readonly string[]): void {
+    const known = new Set(shardPeers);
     const others = [...peers.keys()].filter((address) => !known.has(address));
     if (others.length > 0) {
-      void send(false, [], someOf(others, strangersPerBeat), someSightings());
+      void send(false, [], sample(others, crossShardTargets), sampleSightings());
     }
   }
 
-  function sendChanges(): void {
+  function sendChangedUse(): void {
     sendTimer = undefined;
-    const engines = usesAt(options.ownUse(), [...changedIds]);
-    changedIds.clear();
+    const engines = usesAt(options.ownUse(), [...changedServerIds]);
+    changedServerIds.clear();
     const live = livePeers();
     if (live.length > 0) {
       void send(false, engines, live);
     }
   }
 
-  function beat(): void {
+  function sendHeartbeat(): void {
     const nowMs = monotonicNowMs();
     [...peers].forEach(([address, peer]) => {
-      if (peer.isLive && nowMs - peer.toldAtMs > silentMs) {
+      if (peer.isLive && nowMs - peer.useReceivedAtMs > peerTimeoutMs) {
         peer.isLive = false;
         options.onPeerGone(address);
-        logger.info('peer silent', { peer: address });
+        logger.info('peer timed out', { peer: address });
       }
-      if (nowMs - peer.heardAtMs > forgetMs && !seeds.has(address)) {
+      if (nowMs - peer.lastContactAtMs > forgetAfterMs && !seeds.has(address)) {
         peers.delete(address);
-        isMembershipNew = true;
+        hasMembershipChanged = true;
       }
     });
-    noteMembership();
-    const addresses = neighbours();
-    tellStrangers(addresses);
-    beatCount += 1;
-    if (beatCount % Math.max(leastBeatsPerFull, addresses.length) === 0) {
+    reportMembership();
+    const addresses = targetPeers();
+    gossipAcrossShards(addresses);
+    heartbeatCount += 1;
+    if (heartbeatCount % Math.max(minHeartbeatsPerFull, addresses.length) === 0) {
       void send(true, options.ownUse(), addresses);
       return;
     }
-    const isNew = (address: string) => peers.get(address)?.isNew !== false;
+    const needsFull = (address: string) => peers.get(address)?.needsFullUse !== false;
     void send(
       false,
       [],
-      addresses.filter((address) => !isNew(address)),
+      addresses.filter((address) => !needsFull(address)),
     );
-    void send(true, options.ownUse(), addresses.filter(isNew));
+    void send(true, options.ownUse(), addresses.filter(needsFull));
     addresses.forEach((address) => {
       const peer = peers.get(address);
       if (peer?.isLive) {
-        peer.isNew = false;
+        peer.needsFullUse = false;
       }
     });
   }
 
   function receive(bytes: Buffer): void {
     if (isToldChanges(bytes)) {
-      receiveTold(bytes);
+      receiveRelayedChanges(bytes);
     } else if (isPeerMessage(bytes)) {
       receiveUse(bytes);
     } else {
@@ -282,10 +284,10 @@
     }
   }
 
-  function receiveTold(bytes: Buffer): void {
-    const told = decodeToldChanges(bytes);
-    if (told !== undefined) {
-      options.onToldChanges?.(told);
+  function receiveRelayedChanges(bytes: Buffer): void {
+    const relayed = decodeToldChanges(bytes);
+    if (relayed !== undefined) {
+      options.onToldChanges?.(relayed);
     }
   }
 
@@ -294,49 +296,52 @@
     if (message === undefined || message.senderAddress === ownAddress) {
       return;
     }
-    const peer = knowPeer(message.senderAddress);
-    if (message.life === peer.life && message.sequence <= peer.sequence) {
+    const peer = getOrCreatePeer(message.senderAddress);
+    if (message.life === peer.incarnation && message.sequence <= peer.sequence) {
       return;
     }
-    if (message.life !== peer.life || !peer.isLive) {
-      peer.isNew = true;
+    if (message.life !== peer.incarnation || !peer.isLive) {
+      peer.needsFullUse = true;
     }
-    Object.assign(peer, { life: message.life, sequence: message.sequence });
-    peer.heardAtMs = monotonicNowMs();
-    if (isCompanion(message)) {
-      noteCompanion(message.senderAddress, peer);
+    Object.assign(peer, { incarnation: message.life, sequence: message.sequence });
+    peer.lastContactAtMs = monotonicNowMs();
+    if (isFromShardPeer(message)) {
+      noteShardPeer(message.senderAddress, peer);
       options.onPeerUse(message.senderAddress, message.engines, message.isFull);
     }
     options.onPeerRevisions(message.seenRevisions);
     message.peers.forEach(noteSighting);
-    noteMembership();
+    reportMembership();
   }
 
-  /** A router of another part only tells of routers; one whose view differs may take this one for its own. */
-  function isCompanion({ senderAddress, isFull, engines }: PeerMessage): boolean {
-    return isFull || engines.length > 0 || neighbours().includes(senderAddress);
+  /**
+   * A router of another shard sends sightings only, unless its view of the shards differs and it counts this router as
+   * a shard peer.
+   */
+  function isFromShardPeer({ senderAddress, isFull, engines }: PeerMessage): boolean {
+    return isFull || engines.length > 0 || targetPeers().includes(senderAddress);
   }
 
-  function noteCompanion(address: string, peer: Peer): void {
-    peer.toldAtMs = monotonicNowMs();
+  function noteShardPeer(address: string, peer: Peer): void {
+    peer.useReceivedAtMs = monotonicNowMs();
     if (!peer.isLive) {
       peer.isLive = true;
-      logger.info('peer heard', { peer: address });
+      logger.info('peer live', { peer: address });
     }
   }
 
   socket.onMessage(receive);
   addSeeds(options.seedAddresses);
-  const beatTimer = setInterval(beat, heartbeatMs);
-  beat();
+  const heartbeatTimer = setInterval(sendHeartbeat, heartbeatMs);
+  sendHeartbeat();
 
   return {
     address: ownAddress,
     send: socket.send,
     noteChange(serverId) {
-      changedIds.add(serverId);
+      changedServerIds.add(serverId);
       if (!isClosed) {
-        sendTimer ??= setTimeout(sendChanges, coalesceMs);
+        sendTimer ??= setTimeout(sendChangedUse, coalesceMs);
       }
     },
     tellChanges,
@@ -348,10 +353,10 @@
         return;
       }
       isClosed = true;
-      clearInterval(beatTimer);
+      clearInterval(heartbeatTimer);
       clearTimeout(sendTimer);
-      // Peers stop counting what this process had in progress.
-      void send(true, [], neighbours()).then(() => socket.close());
+      // The empty full state makes peers stop counting what this process had in progress.
+      void send(true, [], targetPeers()).then(() => socket.close());
     },
   };
 }
--- a/packages/routing/src/quietWatch.ts
+++ b/packages/routing/src/quietWatch.ts
@@ -1,17 +1,17 @@
 /**
- * Notices a run that shows nothing any more. A server without power does not close its connections: the
- * caller would wait until it gives up, while the stream could go on elsewhere.
+ * Detects a run that makes no more progress. A server that loses power does not close its connections, so the caller
+ * would wait until its timeout although the stream could continue at another server.
  */
 import { createStallDetector } from '@bluebellhitch/decisions';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
 export interface QuietWatchOptions {
-  /** Quiet for this long, it counts as gone; never for that alone, where it is absent. */
+  /** A run without progress for this long counts as lost; if absent, lack of progress alone does not suffice. */
   quietMs?: number;
-  /** The same while its server answers nobody; the shorter of the two. */
+  /** The same while its server is unresponsive; shorter than the other timeout. */
   silentServerQuietMs: number;
   isServerSilent: () => boolean;
-  /** The server has started again since: nothing of the run is left. */
+  /** Whether the server has restarted since, so that the run is lost. */
   isServerRestarted: () => boolean;
   onGone(): void;
 }
@@ -21,7 +21,7 @@
   stop(): void;
 }
 
-const lookMs = 100;
+const checkIntervalMs = 100;
 
 export function startQuietWatch(options: QuietWatchOptions): QuietWatch {
   const { quietMs = Infinity, silentServerQuietMs, onGone } = options;
@@ -31,23 +31,23 @@
     intervalMs: silentServerQuietMs,
     firstProgressMs: silentServerQuietMs,
   });
-  let steps = 0;
+  let progressCount = 0;
 
-  function isTooQuiet(): boolean {
+  function isStalled(): boolean {
     const verdict = detector.check(monotonicNowMs());
     return verdict.kind === 'stalled' && (verdict.withoutProgressMs >= quietMs || isServerSilent());
   }
 
   const timer = setInterval(() => {
-    if (isServerRestarted() || isTooQuiet()) {
+    if (isServerRestarted() || isStalled()) {
       clearInterval(timer);
       onGone();
     }
-  }, lookMs);
+  }, checkIntervalMs);
   return {
     noteProgress() {
-      steps += 1;
-      detector.progress(steps, monotonicNowMs());
+      progressCount += 1;
+      detector.progress(progressCount, monotonicNowMs());
     },
     stop: () => clearInterval(timer),
   };
--- a/packages/routing/src/quotaExchange.ts
+++ b/packages/routing/src/quotaExchange.ts
@@ -1,6 +1,6 @@
 /**
- * Charges requests to their workspaces' quotas, and tells the other routers of the part what was charged: at once where
- * little is left, otherwise with the next heartbeat.
+ * Charges requests to their workspaces' quotas, and announces the charges to the other routers of the shard:
+ * immediately if little quota is left, otherwise with the next heartbeat.
  */
 import {
   createBoundedMap,
@@ -17,7 +17,7 @@
   /** `ip:port` of this process. */
   address: string;
   send(bytes: Buffer, addresses: readonly string[]): Promise<unknown>;
-  /** Companions that were heard lately. */
+  /** Shard peers that have sent a message within the peer timeout. */
   livePeers(): readonly string[];
 }
 
@@ -27,7 +27,7 @@
   random?: Random;
 }
 
-/** What one request was charged; to be given back where it has certainly not run. */
+/** What one request was charged; to be refunded if it has certainly not run. */
 export interface QuotaCharge {
   giveBack(): void;
 }
@@ -35,53 +35,56 @@
 export type ChargeOutcome =
   { kind: 'charged'; charge: QuotaCharge } | Extract<QuotaDecision, { kind: 'limited' }>;
 
-/** The newest message of a router's life. */
-interface Heard {
-  life: string;
+/** Identifies the newest message received from a router. */
+interface LastMessage {
+  incarnation: string;
   sequence: number;
 }
 
 export interface QuotaExchange {
   setWorkspaces(workspaces: readonly Workspace[]): void;
-  /** The routers of this one's part, without itself, and how many there are in all. */
-  setRouters(companions: readonly string[], routerCount: number): void;
+  /** Sets the other routers of this one's shard, and the number of routers in the fleet. */
+  setRouters(shardPeers: readonly string[], routerCount: number): void;
   charge(workspace: Workspace, request: CallerRequest): ChargeOutcome;
   noteHeard(router: string): void;
   receive(message: QuotaMessage): void;
-  /** Tells the others that this process admits nothing more. */
+  /** Announces to the other routers that this process admits nothing more. */
   close(): void;
 }
 
-/** Requests of this time go into one datagram. */
+/** Charges within this time are sent in one datagram. */
 const coalesceMs = 4;
 const heartbeatMs = 1_000;
-/** What was charged lately is repeated: three heartbeats may be lost. */
-const repeatMs = 4_000;
-/** Anything may arrive at the port: what is kept by sender does not grow with senders that are made up. */
+/** Charges of this time are sent again with each heartbeat, so that three in a row may be lost. */
+const resendWindowMs = 4_000;
+/** Any datagram may arrive at the port: this bounds the state kept for forged senders. */
 const maxSenders = 512;
-/** Of a request that no quota counts. */
+/** The charge of a request that no quota applies to. */
 export const nothingCharged: QuotaCharge = { giveBack: () => undefined };
 
 export function createQuotaExchange(options: QuotaExchangeOptions): QuotaExchange {
   const { slack, random = Math.random } = options;
   const quota = createSharedQuota({ nowMs: monotonicNowMs(), slack, random });
-  const life = Math.floor(random() * 2 ** 40).toString(36);
-  const sequences = createBoundedMap<string, Heard>({ maxEntries: maxSenders });
-  const greeted = new Set<string>();
+  const incarnation = Math.floor(random() * 2 ** 40).toString(36);
+  const lastMessages = createBoundedMap<string, LastMessage>({ maxEntries: maxSenders });
+  const syncedRouters = new Set<string>();
   let sequence = 0;
-  let toldAtMs = -Infinity;
-  let timer: NodeJS.Timeout | undefined;
-  const beatTimer = setInterval(() => tell(monotonicNowMs() - repeatMs), heartbeatMs);
-  beatTimer.unref();
-
-  function tell(sinceMs: number): void {
-    clearTimeout(timer);
-    timer = undefined;
+  let announcedAtMs = -Infinity;
+  let announceTimer: NodeJS.Timeout | undefined;
+  const heartbeatTimer = setInterval(
+    () => announce(monotonicNowMs() - resendWindowMs),
+    heartbeatMs,
+  );
+  heartbeatTimer.unref();
+
+  function announce(sinceMs: number): void {
+    clearTimeout(announceTimer);
+    announceTimer = undefined;
     const uses = quota.usesSince(sinceMs, monotonicNowMs());
     if (uses.length > 0) {
       send(uses, options.channel()?.livePeers() ?? []);
       quota.noteTold();
-      toldAtMs = monotonicNowMs();
+      announcedAtMs = monotonicNowMs();
     }
   }
 
@@ -92,7 +95,7 @@
     }
     sequence += 1;
     const message = {
-      ...{ senderAddress: channel.address, life, sequence, isLast },
+      ...{ senderAddress: channel.address, life: incarnation, sequence, isLast },
       isYoung: quota.isYoung(monotonicNowMs()),
       uses: uses
         .slice(0, mostToldUses)
@@ -101,14 +104,14 @@
     void channel.send(encodeQuotaMessage(message), addresses);
   }
 
-  /** A router that has just started learns what is left within one way of a datagram. */
-  function greet(address: string): void {
+  /** Sends recent charges to a router that has just started, so that it learns the remaining quota at once. */
+  function sendRecentUses(address: string): void {
     const nowMs = monotonicNowMs();
-    send(quota.usesSince(nowMs - repeatMs, nowMs), [address]);
+    send(quota.usesSince(nowMs - resendWindowMs, nowMs), [address]);
   }
 
-  function tellSoon(): void {
-    timer ??= setTimeout(() => tell(toldAtMs), coalesceMs);
+  function scheduleAnnouncement(): void {
+    announceTimer ??= setTimeout(() => announce(announcedAtMs), coalesceMs);
   }
 
   function charge({ name, quota: limit }: Workspace, request: CallerRequest): ChargeOutcome {
@@ -120,24 +123,24 @@
     if (decision.kind === 'limited') {
       return decision;
     }
-    noteChange(name);
+    announceIfUrgent(name);
     return { kind: 'charged', charge: { giveBack: () => giveBack(name, cost) } };
   }
 
   function giveBack(name: string, cost: number): void {
     quota.giveBack(name, cost, monotonicNowMs());
-    noteChange(name);
+    announceIfUrgent(name);
   }
 
-  function noteChange(name: string): void {
+  function announceIfUrgent(name: string): void {
     if (quota.isUrgent(name, monotonicNowMs())) {
-      tellSoon();
+      scheduleAnnouncement();
     }
   }
 
-  function isOld({ senderAddress, life: itsLife, sequence: number }: QuotaMessage): boolean {
-    const last = sequences.get(senderAddress);
-    return last !== undefined && last.life === itsLife && number <= last.sequence;
+  function isStale({ senderAddress, life, sequence: theirSequence }: QuotaMessage): boolean {
+    const last = lastMessages.get(senderAddress);
+    return last !== undefined && last.incarnation === life && theirSequence <= last.sequence;
   }
 
   return {
@@ -147,51 +150,63 @@
       );
       quota.setQuotas(limited, monotonicNowMs());
     },
-    setRouters(companions, routerCount) {
-      quota.setRouters(companions, routerCount);
-      const known = new Set(companions);
-      [...[...sequences.entries()].map(([address]) => address), ...greeted]
+    setRouters(shardPeers, routerCount) {
+      quota.setRouters(shardPeers, routerCount);
+      const known = new Set(shardPeers);
+      [...[...lastMessages.entries()].map(([address]) => address), ...syncedRouters]
         .filter((address) => !known.has(address))
         .forEach((address) => {
-          sequences.delete(address);
-          greeted.delete(address);
+          lastMessages.delete(address);
+          syncedRouters.delete(address);
         });
     },
     charge,
     noteHeard(router) {
       quota.noteHeard(router, monotonicNowMs());
-      if (!greeted.has(router)) {
-        greeted.add(router);
-        greet(router);
+      if (!syncedRouters.has(router)) {
+        syncedRouters.add(router);
+        sendRecentUses(router);
       }
     },
     receive(message) {
-      const { senderAddress, life: itsLife, sequence: number, uses } = message;
-      if (isOld(message) || senderAddress === options.channel()?.address) {
+      const { senderAddress, life: theirIncarnation, sequence: theirSequence, uses } = message;
+      if (isStale(message) || senderAddress === options.channel()?.address) {
         return;
       }
-      const isNewLife = sequences.get(senderAddress)?.life !== itsLife;
-      sequences.set(senderAddress, { life: itsLife, sequence: number });
-      const heard = uses.map(({ workspaceName, ...rest }) => ({ name: workspaceName, ...rest }));
-      const news = { router: senderAddress, life: itsLife, isYoung: message.isYoung, uses: heard };
-      quota.hear(news, monotonicNowMs());
-      if (isNewLife && !message.isLast) {
-        greet(senderAddress);
+      const isNewIncarnation = lastMessages.get(senderAddress)?.incarnation !== theirIncarnation;
+      lastMessages.set(senderAddress, { incarnation: theirIncarnation, sequence: theirSequence });
+      const remoteUses = uses.map(({ workspaceName, ...rest }) => ({
+        name: workspaceName,
+        ...rest,
+      }));
+      const announcement = {
+        router: senderAddress,
+        life: theirIncarnation,
+        isYoung: message.isYoung,
+        uses: remoteUses,
+      };
+      quota.hear(announcement, monotonicNowMs());
+      if (isNewIncarnation && !message.isLast) {
+        sendRecentUses(senderAddress);
       }
       if (message.isLast) {
         quota.noteLeft(senderAddress);
       }
     },
     close() {
-      clearInterval(beatTimer);
-      clearTimeout(timer);
+      clearInterval(heartbeatTimer);
+      clearTimeout(announceTimer);
       const nowMs = monotonicNowMs();
-      send(quota.usesSince(nowMs - repeatMs, nowMs), options.channel()?.livePeers() ?? [], true);
+      send(
+        quota.usesSince(nowMs - resendWindowMs, nowMs),
+        options.channel()?.livePeers() ?? [],
+        true,
+      );
     },
   };
 }
 
-/** A model request counts what its caller states, at the most: an engine makes no more output than that. */
+/** A model request costs its prompt plus the maximum output stated by its caller, which an engine never exceeds. */
 function costOf({ prompt }: CallerRequest, { unit, plainTokens }: WorkspaceQuota): number {
   switch (unit) {
     case quotaUnits.requests:
--- a/packages/routing/src/serverLimits.ts
+++ b/packages/routing/src/serverLimits.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps requests to backend servers in need below the rate that they name in their answers, over all routers together.
- * Tells the other routers of limits that this one reads, and asks those that issue a server's permits for one where no
- * other server can take a request.
+ * Limits requests to overloaded backend servers to the rate that they state in their responses, over all routers
+ * together. Announces the limits that this router reads to the others, and asks the issuers of a server's permits for
+ * one if no other server can take a request.
  */
 import {
   createBoundedMap,
@@ -28,54 +28,57 @@
 export interface ServerLimitsOptions {
   channel: () => LimitChannel | undefined;
   isListed: (serverId: string) => boolean;
-  /** Told how many servers name a limit, when that may have changed. */
+  /** Receives the number of servers that state a limit whenever it may have changed. */
   onCount?: (limitedServers: number) => void;
   onPermit?: (outcome: PermitOutcome) => void;
   logger: Logger;
   random?: Random;
 }
 
-/** Where a request's permit came from; `refused` where no issuer that was asked had one. */
+/** Where a request's permit came from; `refused` if no issuer that was asked granted one. */
 export type PermitOutcome = 'own' | 'granted' | 'refused';
 
-/** What requests ask before they choose a server. */
+/** The permits that are checked when a server is chosen for a request. */
 export interface ServerPermits {
-  /** Whether so many requests may go to the server now; always, where it names no limit. */
+  /** Whether `count` requests may be sent to the server now; always true if it states no limit. */
   mayTake(serverId: string, count?: number): boolean;
-  /** Takes the permits for so many requests; false where there are fewer after all. */
+  /** Takes permits for `count` requests; false, and takes none, if there are fewer. */
   take(serverId: string, count?: number): boolean;
-  /** Asks other routers; true once one has granted a permit, which `take` then takes. */
+  /** Asks other routers; true once one has granted a permit, which is then available to `take`. */
   request(serverId: string): Promise<boolean>;
-  /** Until there may be a permit. */
+  /** Time until a permit may be available. */
   waitMs(serverId: string): number;
 }
 
 export interface ServerLimits extends ServerPermits {
-  /** All other routers that are known. */
+  /** Sets all other known routers. */
   setRouters(ownAddress: string, others: readonly string[]): void;
-  /** An answer of the server names so many requests a second, or no limit. */
+  /** Records that a response of the server states this limit, or none. */
   note(server: Pick<BackendServer, 'id' | 'serviceName'>, requestsPerSecond?: number): void;
   receive(message: LimitMessage): void;
   forget(serverId: string): void;
   close(): void;
 }
 
-/** Answers of this time go into one datagram. */
+/** Limits read within this time are announced in one datagram. */
 const coalesceMs = 4;
-const leastNewsIntervalMs = 1_000;
-/** News go to every router: at this pace they are below 2 KB a second at any size. */
-const newsIntervalPerRouterMs = 60;
-/** Lost news are healed by the next two. */
-const newsRepeats = 3;
-/** An issuer answers within a few milliseconds; a busy one later than a caller should wait for. */
+const minAnnounceIntervalMs = 1_000;
+/** Announcements go to every router: at this interval they stay below 2 KB per second for a fleet of any size. */
+const announceIntervalPerRouterMs = 60;
+/** Each limit is announced this many times, as datagrams may be lost. */
+const announceRepeats = 3;
+/** An issuer answers within a few milliseconds; a busy one may take longer than a caller should wait. */
 const permitTimeoutMs = 60;
-const mostAsked = 2;
-/** An issuer that had none is not asked again before it may have one, and one that did not answer not for a while. */
-const longestRefusalMs = 1_000;
+const maxIssuersAsked = 2;
+/**
+ * Upper bound of the time for which an issuer that refused a permit is not asked again. An issuer that did not answer
+ * is not asked again for this whole time.
+ */
+const maxRefusalMs = 1_000;
 const maxRefusals = 4_096;
 const maxQuestions = 1_024;
-const questionNumbers = 2 ** 48;
-/** Where no server names a limit. */
+const questionNumberRange = 2 ** 48;
+/** Permits in a fleet where no server states a limit. */
 export const noLimits: ServerPermits = {
   mayTake: () => true,
   take: () => true,
@@ -83,10 +86,10 @@
   waitMs: () => 0,
 };
 
-/** Where this router issues no permits it does not know when there will be one. */
-const unknownWaitMs = 500;
+/** Wait for servers whose permits this router does not issue, as it does not know when one will be available. */
+const defaultWaitMs = 500;
 
-interface Asked {
+interface PendingQuestion {
   issuer: string;
   serverId: string;
   settle(isGranted: boolean): void;
@@ -96,38 +99,40 @@
   const { onCount = () => undefined, onPermit = () => undefined, logger } = options;
   const { random = Math.random } = options;
   const permits = createSharedPermits({ nowMs: monotonicNowMs(), random });
-  const questions = new Map<number, Asked>();
-  /** By server and issuer: until when it need not be asked. */
+  const questions = new Map<number, PendingQuestion>();
+  /** Keyed by server and issuer: until when the issuer is not asked. */
   const refusedUntilMs = createBoundedMap<string, number>({ maxEntries: maxRefusals });
-  let others: readonly string[] = [];
-  let soonTimer: NodeJS.Timeout | undefined;
-  let toldAtMs = -Infinity;
-  const beatTimer = setInterval(beat, leastNewsIntervalMs);
-  beatTimer.unref();
+  let otherRouters: readonly string[] = [];
+  let announceTimer: NodeJS.Timeout | undefined;
+  let announcedAtMs = -Infinity;
+  const reannounceTimer = setInterval(reannounce, minAnnounceIntervalMs);
+  reannounceTimer.unref();
 
-  const newsIntervalMs = () =>
-    Math.max(leastNewsIntervalMs, others.length * newsIntervalPerRouterMs);
+  const announceIntervalMs = () =>
+    Math.max(minAnnounceIntervalMs, otherRouters.length * announceIntervalPerRouterMs);
 
-  function tell(sightings: readonly LimitSighting[]): void {
-    const limits = sightings.slice(0, mostToldLimits);
-    if (limits.length > 0 && others.length > 0) {
-      void options.channel()?.send(encodeLimitMessage({ kind: 'limit-news', limits }), others);
+  function announce(observations: readonly LimitSighting[]): void {
+    const limits = observations.slice(0, mostToldLimits);
+    if (limits.length > 0 && otherRouters.length > 0) {
+      void options
+        .channel()
+        ?.send(encodeLimitMessage({ kind: 'limit-news', limits }), otherRouters);
     }
   }
 
-  function beat(): void {
+  function reannounce(): void {
     const nowMs = monotonicNowMs();
-    if (nowMs - toldAtMs >= newsIntervalMs() - leastNewsIntervalMs / 2) {
-      toldAtMs = nowMs;
-      tell(permits.sightingsSince(nowMs - newsRepeats * newsIntervalMs(), nowMs));
+    if (nowMs - announcedAtMs >= announceIntervalMs() - minAnnounceIntervalMs / 2) {
+      announcedAtMs = nowMs;
+      announce(permits.sightingsSince(nowMs - announceRepeats * announceIntervalMs(), nowMs));
     }
   }
 
-  function tellSoon(): void {
+  function scheduleAnnouncement(): void {
     const sinceMs = monotonicNowMs() - coalesceMs;
-    soonTimer ??= setTimeout(() => {
-      soonTimer = undefined;
-      tell(permits.sightingsSince(sinceMs, monotonicNowMs()));
+    announceTimer ??= setTimeout(() => {
+      announceTimer = undefined;
+      announce(permits.sightingsSince(sinceMs, monotonicNowMs()));
     }, coalesceMs);
   }
 
@@ -137,7 +142,7 @@
   ): void {
     const before = permits.limitOf(id);
     if (permits.note(id, rate, monotonicNowMs())) {
-      tellSoon();
+      scheduleAnnouncement();
     }
     if (before !== rate) {
       logger.info('server limit', { id, serviceName, requestsPerSecond: rate, before });
@@ -145,13 +150,13 @@
     }
   }
 
-  function hear(sighting: LimitSighting): void {
-    if (!options.isListed(sighting.serverId)) {
+  function applyAnnounced(observation: LimitSighting): void {
+    if (!options.isListed(observation.serverId)) {
       return;
     }
-    const { serverId: id } = sighting;
+    const { serverId: id } = observation;
     const before = permits.limitOf(id);
-    permits.hear(sighting, monotonicNowMs());
+    permits.hear(observation, monotonicNowMs());
     const now = permits.limitOf(id);
     if (before !== now) {
       logger.info('server limit heard', { id, requestsPerSecond: now, before });
@@ -162,26 +167,26 @@
   function answer({ senderAddress, number, serverId }: PermitQuestion): void {
     const nowMs = monotonicNowMs();
     const isGranted = permits.grant(serverId, nowMs);
-    const waitMs = isGranted ? 0 : (permits.waitMs(serverId, nowMs) ?? longestRefusalMs);
+    const waitMs = isGranted ? 0 : (permits.waitMs(serverId, nowMs) ?? maxRefusalMs);
     const reply = { kind: 'permit-answer', number, isGranted, waitMs } as const;
     void options.channel()?.send(encodeLimitMessage(reply), [senderAddress]);
   }
 
-  function takeAnswer({ number, isGranted, waitMs }: PermitAnswer): void {
-    const asked = questions.get(number);
-    if (asked === undefined) {
+  function applyAnswer({ number, isGranted, waitMs }: PermitAnswer): void {
+    const pending = questions.get(number);
+    if (pending === undefined) {
       return;
     }
     if (isGranted) {
-      permits.noteGranted(asked.serverId, monotonicNowMs());
+      permits.noteGranted(pending.serverId, monotonicNowMs());
     } else {
-      noteRefused(asked, waitMs);
+      noteRefused(pending, waitMs);
     }
-    asked.settle(isGranted);
+    pending.settle(isGranted);
   }
 
-  function noteRefused({ serverId, issuer }: Asked, waitMs: number): void {
-    const untilMs = monotonicNowMs() + Math.min(longestRefusalMs, waitMs);
+  function noteRefused({ serverId, issuer }: PendingQuestion, waitMs: number): void {
+    const untilMs = monotonicNowMs() + Math.min(maxRefusalMs, waitMs);
     refusedUntilMs.set(`${serverId} ${issuer}`, untilMs);
   }
 
@@ -190,32 +195,32 @@
     if (channel === undefined || questions.size >= maxQuestions) {
       return Promise.resolve(false);
     }
-    const number = Math.floor(random() * questionNumbers);
+    const number = Math.floor(random() * questionNumberRange);
     return new Promise((resolve) => {
       const settle = (isGranted: boolean) => {
         clearTimeout(timer);
         questions.delete(number);
         resolve(isGranted);
       };
-      const asked = { issuer, serverId, settle };
+      const pending = { issuer, serverId, settle };
       const timer = setTimeout(() => {
-        noteRefused(asked, longestRefusalMs);
+        noteRefused(pending, maxRefusalMs);
         settle(false);
       }, permitTimeoutMs);
-      questions.set(number, asked);
+      questions.set(number, pending);
       const question = { kind: 'permit-question', number, serverId } as const;
       const bytes = encodeLimitMessage({ ...question, senderAddress: channel.address });
       void channel.send(bytes, [issuer]);
     });
   }
 
-  /** One after the other: two grants for one request would waste one. */
+  /** Asks issuers one after the other, since a second grant for the same request would be wasted. */
   async function request(serverId: string): Promise<boolean> {
     const nowMs = monotonicNowMs();
     const issuers = permits
       .issuers(serverId, nowMs)
       .filter((issuer) => (refusedUntilMs.get(`${serverId} ${issuer}`) ?? -Infinity) <= nowMs);
-    for (const issuer of fromAnyPlace(issuers, random).slice(0, mostAsked)) {
+    for (const issuer of fromAnyPlace(issuers, random).slice(0, maxIssuersAsked)) {
       if (await ask(issuer, serverId)) {
         onPermit('granted');
         return true;
@@ -227,20 +232,20 @@
 
   return {
     setRouters(ownAddress, addresses) {
-      others = addresses;
+      otherRouters = addresses;
       permits.setRouters(ownAddress, addresses, monotonicNowMs());
     },
     note: noteLimit,
     receive(message) {
       switch (message.kind) {
         case 'limit-news':
-          message.limits.forEach(hear);
+          message.limits.forEach(applyAnnounced);
           break;
         case 'permit-question':
           answer(message);
           break;
         case 'permit-answer':
-          takeAnswer(message);
+          applyAnswer(message);
           break;
       }
     },
@@ -253,14 +258,14 @@
       return isTaken;
     },
     request,
-    waitMs: (serverId) => permits.waitMs(serverId, monotonicNowMs()) ?? unknownWaitMs,
+    waitMs: (serverId) => permits.waitMs(serverId, monotonicNowMs()) ?? defaultWaitMs,
     forget(serverId) {
       permits.forget(serverId);
       onCount(permits.limitedCount());
     },
     close() {
-      clearInterval(beatTimer);
-      clearTimeout(soonTimer);
+      clearInterval(reannounceTimer);
+      clearTimeout(announceTimer);
     },
   };
 }
--- a/packages/routing/src/serverWords.ts
+++ b/packages/routing/src/serverWords.ts
@@ -1,4 +1,4 @@
-/** Takes what backend servers say of themselves in their answers to where it counts, and tells it in log and metrics. */
+/** Applies the notices that backend servers send in their responses, and records them in log and metrics. */
 import { createBoundedMap, createRestPeriods } from '@bluebellhitch/decisions';
 import { assertNever, monotonicNowMs } from '@bluebellhitch/shared';
 import type { Logger } from '@bluebellhitch/telemetry';
@@ -11,88 +11,88 @@
 export interface ServerWordsOptions {
   directory: Pick<ServerDirectory, 'get' | 'all' | 'usable' | 'noteLeaving'>;
   limits: Pick<ServerLimits, 'note'>;
-  /** Told of each word, but not that there is no limit: nearly all answers say that. */
+  /** Called for each notice except `no-limit`, which nearly all responses carry. */
   onWord?: (kind: ServerWord['kind']) => void;
   logger: Logger;
 }
 
 export interface ServerWords {
-  /** An answer of the server has said so. */
-  note(server: BackendServer, words: readonly ServerWord[]): void;
-  /** Whether this life of the server may get requests: it is listed, does not leave, and does not rest. */
+  /** Applies the notices of one response of the server. */
+  note(server: BackendServer, notices: readonly ServerWord[]): void;
+  /** Whether this incarnation of the server takes requests: it is listed, not leaving and not in backoff. */
   mayGet(server: Pick<BackendServer, 'id'>): boolean;
-  /** Until the server's rest ends, in which it wants nothing at all; 0 where it does not rest. */
+  /** Time until the server's backoff ends, during which it wants no requests at all; 0 without one. */
   restLeftMs(serverId: string): number;
   /**
-   * Until one of the service's servers that stay ends its rest; undefined unless all of them rest. `stage` leaves out
-   * engines of the other one.
+   * Time until the first backoff ends among the service's servers that are not leaving; undefined unless all of them
+   * are in backoff. `stage` restricts this to engines of that stage.
    */
   closedForMs(serviceName: string, stage?: Stage): number | undefined;
-  /** Servers of the service are listed, and all of them leave. */
+  /** Whether servers of the service are listed and all of them are leaving. */
   isLeft(serviceName: string): boolean;
 }
 
-/** Where servers say nothing of themselves. */
+/** Stands in where servers send no notices. */
 export const noWords: Pick<ServerWords, 'mayGet' | 'closedForMs' | 'isLeft'> = {
   mayGet: () => true,
   closedForMs: () => undefined,
   isLeft: () => false,
 };
 
-/** Lives of servers that have said that they leave, or what can't be read: each answer would be a line of the log. */
-const maxKnown = 4_096;
+/** Bounds the memory of logged notices: without it each response would repeat the log line. */
+const maxRemembered = 4_096;
 
 export function createServerWords(options: ServerWordsOptions): ServerWords {
   const { directory, limits, onWord = () => undefined, logger } = options;
-  const rests = createRestPeriods();
-  const known = createBoundedMap<string, true>({ maxEntries: maxKnown });
+  const backoffs = createRestPeriods();
+  const logged = createBoundedMap<string, true>({ maxEntries: maxRemembered });
 
-  /** Whether it is the first time for the server. */
-  function isNew(serverId: string, what: string): boolean {
+  /** Whether this is the server's first notice of this kind. */
+  function isFirstNotice(serverId: string, what: string): boolean {
     const key = `${what} ${serverId}`;
-    const isFirst = !known.has(key);
-    known.set(key, true);
+    const isFirst = !logged.has(key);
+    logged.set(key, true);
     return isFirst;
   }
 
-  function noteOne({ id, serviceName }: BackendServer, word: ServerWord): void {
-    switch (word.kind) {
+  function applyNotice({ id, serviceName }: BackendServer, notice: ServerWord): void {
+    switch (notice.kind) {
       case 'limit':
-        limits.note({ id, serviceName }, word.requestsPerSecond);
+        limits.note({ id, serviceName }, notice.requestsPerSecond);
         break;
       case 'no-limit':
         limits.note({ id, serviceName });
         break;
       case 'leaving':
-        if (isNew(id, 'leaving')) {
+        if (isFirstNotice(id, 'leaving')) {
           logger.info('server leaving', { id, serviceName });
         }
         directory.noteLeaving({ id });
         break;
       case 'rest':
-        if (rests.note(id, word.forMs, monotonicNowMs())) {
-          logger.info('server rest', { id, serviceName, forMs: Math.round(word.forMs) });
+        if (backoffs.note(id, notice.forMs, monotonicNowMs())) {
+          logger.info('server rest', { id, serviceName, forMs: Math.round(notice.forMs) });
         }
         break;
       case 'unreadable':
-        if (isNew(id, word.about)) {
-          logger.warn(`server ${word.about} unreadable`, { id, text: word.text });
+        if (isFirstNotice(id, notice.about)) {
+          logger.warn(`server ${notice.about} unreadable`, { id, text: notice.text });
         }
         break;
       default:
-        assertNever(word);
+        assertNever(notice);
     }
   }
 
-  const restLeftMs = (serverId: string) => rests.leftMs(serverId, monotonicNowMs());
+  const restLeftMs = (serverId: string) => backoffs.leftMs(serverId, monotonicNowMs());
 
   return {
-    note(server, words) {
-      words.forEach((word) => {
-        if (word.kind !== 'no-limit') {
-          onWord(word.kind);
+    note(server, notices) {
+      notices.forEach((notice) => {
+        if (notice.kind !== 'no-limit') {
+          onWord(notice.kind);
         }
-        noteOne(server, word);
+        applyNotice(server, notice);
       });
     },
     mayGet: ({ id }) => directory.get(id)?.isDraining === false && restLeftMs(id) === 0,
@@ -109,14 +109,14 @@
   };
 }
 
-/** The servers of the pools that do not rest. */
+/** The pools without servers that are in backoff. */
 export function createWillingPools(
   pools: ServerPools,
   { restLeftMs }: Pick<ServerWords, 'restLeftMs'>,
 ): ServerPools {
-  const isWilling = ({ id }: BackendServer) => restLeftMs(id) === 0;
+  const isAvailable = ({ id }: BackendServer) => restLeftMs(id) === 0;
   return {
-    usable: (serviceName, stage) => pools.usable(serviceName, stage).filter(isWilling),
-    spare: (serviceName, stage) => pools.spare(serviceName, stage).filter(isWilling),
+    usable: (serviceName, stage) => pools.usable(serviceName, stage).filter(isAvailable),
+    spare: (serviceName, stage) => pools.spare(serviceName, stage).filter(isAvailable),
   };
 }
