--- a/packages/agent/src/admission.ts
+++ b/packages/agent/src/admission.ts
@@ -249,7 +249,7 @@
   }
 
   function pump(): void {
-    table.settle();
+    table.holdPromised();
     answerHeldWaiters();
     giveUpHopeless();
     grantWaiting();
--- a/packages/agent/src/agentTelemetry.ts
+++ b/packages/agent/src/agentTelemetry.ts
@@ -139,6 +139,6 @@
   { generation, document }: AcceptedDocument,
 ): void {
   const { service, institution, classes } = document;
-  metrics.describeService({ service, institution, classNames: classes.map(({ name }) => name) });
+  metrics.addServiceLabels({ service, institution, classNames: classes.map(({ name }) => name) });
   metrics.setConfigurationGeneration(service, generation);
 }
--- a/packages/agent/src/bin.ts
+++ b/packages/agent/src/bin.ts
@@ -1,6 +1,6 @@
 /** `bluebell-agent`: the process beside one backend server. */
 import { innerSecurityOf, readInnerKeys } from '@bluebellhitch/security';
-import { exitForSettings, loadSettingsOrExit } from '@bluebellhitch/shared';
+import { exitOnInvalidSettings, loadSettingsOrExit } from '@bluebellhitch/shared';
 import { installProcessLifecycle } from '@bluebellhitch/telemetry';
 import { startAgentProcess } from './agentProcess';
 import { agentSettings } from './settings';
@@ -14,7 +14,7 @@
 
 const innerKeys = readInnerKeys(settings);
 if (innerKeys.isErr()) {
-  exitForSettings('bluebell-agent', innerKeys.error);
+  exitOnInvalidSettings('bluebell-agent', innerKeys.error);
 }
 const security = innerSecurityOf(innerKeys.value, settings.instanceId);
 
--- a/packages/bench/src/experiments/capacityMetrics.ts
+++ b/packages/bench/src/experiments/capacityMetrics.ts
@@ -55,7 +55,7 @@
   Array.from({ length: size.services }, (_, index) => index).forEach((index) => {
     const service = `service-${index}`;
     const institution = `institution-${index % 2}`;
-    metrics.describeService({ service, institution, classNames });
+    metrics.addServiceLabels({ service, institution, classNames });
     classNames.forEach((className) => fill(metrics, { service, institution, className }));
   });
   unknown.forEach((className) =>
--- a/packages/decisions/__tests__/backoffPeriods.test.ts
+++ b/packages/decisions/__tests__/backoffPeriods.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { createRestPeriods, maxBackoffMs } from '@bluebellhitch/decisions';
+import { createBackoffPeriods, maxBackoffMs } from '@bluebellhitch/decisions';
 
 const backoffRequest = fc.record({
   server: fc.constantFrom('a', 'b'),
@@ -11,7 +11,7 @@
 test('a backoff lasts until the end of each period that the server asked for, whatever it asked for later', (t) => {
   // Responses may arrive out of order: a shorter period that is read last must not end a longer one.
   const property = fc.property(fc.array(backoffRequest, { maxLength: 20 }), (steps) => {
-    const periods = createRestPeriods();
+    const periods = createBackoffPeriods();
     const ends: { server: string; endMs: number }[] = [];
     let nowMs = 0;
     return steps.every(({ server, forMs, afterMs }) => {
@@ -28,7 +28,7 @@
 });
 
 test('a backoff starts once, ends by itself, and has an upper limit', (t) => {
-  const periods = createRestPeriods();
+  const periods = createBackoffPeriods();
   t.true(periods.note('a', 3_000, 0));
   t.false(periods.note('a', 3_000, 1_000));
   t.is(periods.count(1_000), 1);
--- a/packages/decisions/__tests__/baselines.test.ts
+++ b/packages/decisions/__tests__/baselines.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { createSeededRandom } from '@bluebellhitch/shared';
-import { createLoadHints, planOf, rankWorkers, type RankOptions } from '../src';
+import { createLoadHints, resolvePolicyPlan, rankWorkers, type RankOptions } from '../src';
 import { instances, loadHint } from './helpers/fixtures';
 
 const decodeWorkers = instances(4);
@@ -20,10 +20,10 @@
 }
 
 test('only the default policy uses bids and reserves decode memory before the prefill', (t) => {
-  t.deepEqual(planOf('default'), { workers: 'bids', reservesFirst: true });
-  t.deepEqual(planOf('random'), { workers: 'random', reservesFirst: false });
-  t.deepEqual(planOf('least-loaded'), { workers: 'last-hint', reservesFirst: true });
-  t.deepEqual(planOf('prefill-first'), { workers: 'bids', reservesFirst: false });
+  t.deepEqual(resolvePolicyPlan('default'), { workers: 'bids', reservesFirst: true });
+  t.deepEqual(resolvePolicyPlan('random'), { workers: 'random', reservesFirst: false });
+  t.deepEqual(resolvePolicyPlan('least-loaded'), { workers: 'last-hint', reservesFirst: true });
+  t.deepEqual(resolvePolicyPlan('prefill-first'), { workers: 'bids', reservesFirst: false });
 });
 
 test('a random ranking has every worker that serves the need and is not excluded', (t) => {
--- a/packages/decisions/__tests__/expectedValue.test.ts
+++ b/packages/decisions/__tests__/expectedValue.test.ts
@@ -2,9 +2,9 @@
 import fc from 'fast-check';
 import {
   decidePrefill,
-  expectOutcome,
+  estimateOutcome,
   probabilityWithin,
-  usableSlackMs,
+  latestUsableInMs,
 } from '../src/expectedValue';
 import { decisionOptions, fixedSeed } from './helpers/fixtures';
 
@@ -26,7 +26,7 @@
   fc.assert(
     fc.property(prediction, weights, (predicted, givenWeights) => {
       const options = decisionOptions(predicted, { weights: givenWeights });
-      const { probability: p, value } = expectOutcome(options);
+      const { probability: p, value } = estimateOutcome(options);
       t.true(
         Math.abs(value - (givenWeights.goodput * p - givenWeights.wastedPrefill * (1 - p))) < 1e-9,
       );
@@ -41,10 +41,10 @@
     fc.property(prediction, durationMs, (predicted, laterByMs) => {
       const options = decisionOptions(predicted);
       const later = decisionOptions({ ...predicted, usableInMs: predicted.usableInMs + laterByMs });
-      t.true(expectOutcome(later).probability <= expectOutcome(options).probability);
-      const slackMs = usableSlackMs(options);
+      t.true(estimateOutcome(later).probability <= estimateOutcome(options).probability);
+      const slackMs = latestUsableInMs(options);
       if (slackMs >= 0) {
-        const atSlack = expectOutcome(decisionOptions({ ...predicted, usableInMs: slackMs }));
+        const atSlack = estimateOutcome(decisionOptions({ ...predicted, usableInMs: slackMs }));
         t.true(
           Math.abs(atSlack.value) < 1e-6 ||
             slackMs <= predicted.prefillMs + predicted.prefillWaitMs,
--- a/packages/decisions/__tests__/leaseTable.test.ts
+++ b/packages/decisions/__tests__/leaseTable.test.ts
@@ -51,7 +51,7 @@
   t.false(table.advance('next', 'streaming', 1000));
   table.end('running');
   t.deepEqual(
-    table.settle().map(({ attemptId }) => attemptId),
+    table.holdPromised().map(({ attemptId }) => attemptId),
     ['next'],
   );
   t.true(table.advance('next', 'streaming', 1000));
@@ -217,7 +217,7 @@
     end: () => increment(counts.ended, attemptId, table.end(attemptId)),
     renew: () => table.renew(owner, nowMs),
     lapse: () => table.lapsed(nowMs).forEach((lease) => table.startRelease(lease.attemptId)),
-    settle: () => table.settle(),
+    settle: () => table.holdPromised(),
     wait: () => undefined,
   };
   actions[step.kind]();
@@ -257,7 +257,7 @@
         table.reserve(reservation(`later-${index}`, { kvBytes, neededInMs: 150 }), 0),
       );
       table.end('running');
-      table.settle();
+      table.holdPromised();
       return table.totals().promisedSlots === 0;
     },
   );
--- a/packages/decisions/__tests__/memoryForecast.test.ts
+++ b/packages/decisions/__tests__/memoryForecast.test.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
-import { createMemoryForecast, survival } from '@bluebellhitch/decisions';
-import type { StreamOutlook } from '@bluebellhitch/protocol';
+import { createMemoryForecast, survivalProbability } from '@bluebellhitch/decisions';
+import type { StreamEstimate } from '@bluebellhitch/protocol';
 
-const stream = (overrides: Partial<StreamOutlook> = {}): StreamOutlook => ({
+const stream = (overrides: Partial<StreamEstimate> = {}): StreamEstimate => ({
   promptTokens: 5_000,
   emittedTokens: 0,
   medianOutputTokens: 4_000,
   ...overrides,
 });
 
-const forecastOf = (streams: StreamOutlook[], caution = 0) =>
-  createMemoryForecast({ streams, capacityTokens: 100_000, lengthShape: 5, caution });
+const forecastOf = (streams: StreamEstimate[], marginDeviations = 0) =>
+  createMemoryForecast({ streams, capacityTokens: 100_000, lengthShape: 5, marginDeviations });
 
 test('an engine without streams is free except for unaccounted tokens', (t) => {
   const forecast = createMemoryForecast({
@@ -18,7 +18,7 @@
     otherTokens: 3_000,
     capacityTokens: 10_000,
     lengthShape: 5,
-    caution: 2,
+    marginDeviations: 2,
   });
   t.is(forecast.freeTokens(), 7_000);
 });
@@ -42,8 +42,13 @@
 
 test('the margin keeps more memory free, and more so the wider the lengths scatter', (t) => {
   const streams = Array.from({ length: 6 }, () => stream());
-  const free = (lengthShape: number, caution: number) =>
-    createMemoryForecast({ streams, capacityTokens: 100_000, lengthShape, caution }).freeTokens();
+  const free = (lengthShape: number, marginDeviations: number) =>
+    createMemoryForecast({
+      streams,
+      capacityTokens: 100_000,
+      lengthShape,
+      marginDeviations,
+    }).freeTokens();
   t.true(free(5, 2) < free(5, 1));
   t.true(free(5, 0) - free(5, 2) < free(2, 0) - free(2, 2));
 });
@@ -54,7 +59,7 @@
 });
 
 test('half of the streams exceed their median; one that has exceeded it is likely to continue', (t) => {
-  t.is(survival(stream(), 0, 5), 1);
-  t.is(survival(stream(), 4_000, 5), 0.5);
-  t.true(survival(stream({ emittedTokens: 8_000 }), 1_000, 5) > 0.5);
+  t.is(survivalProbability(stream(), 0, 5), 1);
+  t.is(survivalProbability(stream(), 4_000, 5), 0.5);
+  t.true(survivalProbability(stream({ emittedTokens: 8_000 }), 1_000, 5) > 0.5);
 });
--- a/packages/decisions/__tests__/phaseModel.test.ts
+++ b/packages/decisions/__tests__/phaseModel.test.ts
@@ -4,7 +4,7 @@
 test('starts from the initial model and learns each service separately', (t) => {
   const models = createPhaseModels();
   const observation = {
-    place: 'prefill-worker',
+    location: 'prefill-worker',
     uncachedTokens: 1_000,
     promptTokens: 1_000,
   } as const;
--- a/packages/decisions/__tests__/quarantine.test.ts
+++ b/packages/decisions/__tests__/quarantine.test.ts
@@ -70,10 +70,10 @@
 
 test('requests with strikes are kept on separate servers', (t) => {
   const quarantine = createQuarantine();
-  quarantine.place('s', 'attempt-1', 'server-1');
+  quarantine.addPlacement('s', 'attempt-1', 'server-1');
   t.deepEqual([...quarantine.avoidInstances('s')], ['server-1']);
   t.is(quarantine.avoidInstances('other').size, 0);
-  quarantine.unplace('attempt-1');
+  quarantine.removePlacement('attempt-1');
   t.is(quarantine.avoidInstances('s').size, 0);
 });
 
--- a/packages/decisions/__tests__/relayChoice.test.ts
+++ b/packages/decisions/__tests__/relayChoice.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
-import { chooseFollowers } from '@bluebellhitch/decisions';
+import { chooseRelays } from '@bluebellhitch/decisions';
 
 const routers = Array.from({ length: 17 }, (_, index) => `10.0.0.${index + 1}:7000`);
 const choiceOf = (own: string, known: readonly string[] = routers) =>
-  chooseFollowers({ ownAddress: own, liveAddresses: known.filter((address) => address !== own) });
+  chooseRelays({ ownAddress: own, liveAddresses: known.filter((address) => address !== own) });
 
 test('routers that know the same addresses choose the same relays', (t) => {
   const choices = routers.map((own) => [...choiceOf(own)].join(' '));
--- a/packages/decisions/__tests__/sharedPermits.test.ts
+++ b/packages/decisions/__tests__/sharedPermits.test.ts
@@ -45,7 +45,7 @@
   permits.note('s', 1, 1);
   permits.note('s', undefined, 2);
   t.true(permits.mayTake('s', 2));
-  t.is(permits.limitedCount(), 0);
+  t.is(permits.limitedServerCount(), 0);
 });
 
 test('a fleet of any size uses the rate, and no more than is tolerated in four seconds', (t) => {
@@ -121,11 +121,11 @@
   const permits = createSharedPermits({ nowMs: 0 });
   permits.setRouters(address(0), [address(1)], 0);
   permits.note('s', 5, 1_000);
-  permits.hear({ serverId: 's', requestsPerSecond: 9, ageMs: 500 }, 1_400);
+  permits.applyRemote({ serverId: 's', requestsPerSecond: 9, ageMs: 500 }, 1_400);
   t.is(permits.limitOf('s'), 5);
-  permits.hear({ serverId: 's', ageMs: 100 }, 1_500);
+  permits.applyRemote({ serverId: 's', ageMs: 100 }, 1_500);
   t.is(permits.limitOf('s'), undefined);
-  permits.hear({ serverId: 's', requestsPerSecond: 5, ageMs: 600 }, 1_600);
+  permits.applyRemote({ serverId: 's', requestsPerSecond: 5, ageMs: 600 }, 1_600);
   t.is(permits.limitOf('s'), undefined, 'older than the end of the limit');
 });
 
@@ -133,9 +133,9 @@
   // Observations passed on from other routers would circulate for ever, with a smaller age at each router.
   const permits = createSharedPermits({ nowMs: 0 });
   permits.setRouters(address(0), [address(1)], 0);
-  permits.hear({ serverId: 'far', requestsPerSecond: 9, ageMs: 0 }, 100);
+  permits.applyRemote({ serverId: 'far', requestsPerSecond: 9, ageMs: 0 }, 100);
   permits.note('near', 4, 100);
-  t.deepEqual(permits.sightingsSince(0, 150), [
+  t.deepEqual(permits.observationsSince(0, 150), [
     { serverId: 'near', requestsPerSecond: 4, ageMs: 50 },
   ]);
 });
--- a/packages/decisions/__tests__/sharedQuota.test.ts
+++ b/packages/decisions/__tests__/sharedQuota.test.ts
@@ -11,13 +11,13 @@
   const { nowMs = startMs, peers = [] } = overrides;
   const router = createSharedQuota({ nowMs, slack, random: () => 0 });
   router.setRouters(peers, peers.length + 1);
-  peers.forEach((address) => router.noteHeard(address, Math.max(0, nowMs)));
+  peers.forEach((address) => router.noteContact(address, Math.max(0, nowMs)));
   router.setQuotas([quota], Math.max(0, nowMs));
   return router;
 }
 
 function contactAll(router: SharedQuota, nowMs: number): void {
-  shardPeers.forEach((address) => router.noteHeard(address, nowMs));
+  shardPeers.forEach((address) => router.noteContact(address, nowMs));
 }
 
 const take = (router: SharedQuota, cost: number, nowMs: number) => router.take('w', cost, nowMs);
@@ -41,14 +41,14 @@
 test('a refunded cost may be taken again', (t) => {
   const router = createRouter();
   take(router, 1_000, 0);
-  router.giveBack('w', 1_000, 0);
+  router.refund('w', 1_000, 0);
   t.true(isAdmitted(take(router, 1_000, 0)));
 });
 
 test('what a peer admits is debited once, however often it is announced', (t) => {
   const router = createRouter({ peers: shardPeers });
   const announce = (sum: number) =>
-    router.hear(
+    router.applyRemote(
       { router: shardPeers[0] as string, life: 'a', isYoung: true, uses: [{ name: 'w', sum }] },
       0,
     );
@@ -88,7 +88,7 @@
   router.setRouters(shardPeers, 24);
   contactAll(router, 100);
   const uses = [{ name: 'w', sum: 50_000, level: 120 }];
-  router.hear({ router: shardPeers[0] as string, life: 'a', isYoung: false, uses }, 100);
+  router.applyRemote({ router: shardPeers[0] as string, life: 'a', isYoung: false, uses }, 100);
   router.setQuotas([quota], 300);
   const level = router.level('w', 300) ?? 0;
   t.true(level >= 120 && level <= 320, `${level}`);
@@ -97,7 +97,7 @@
 test('a false announcement locks a workspace out for a few seconds at most', (t) => {
   const router = createRouter({ peers: shardPeers });
   const uses = [{ name: 'w', sum: 1e15 }];
-  router.hear({ router: shardPeers[0] as string, life: 'a', isYoung: true, uses }, 0);
+  router.applyRemote({ router: shardPeers[0] as string, life: 'a', isYoung: true, uses }, 0);
   [1, 2, 3, 4, 5, 6].forEach((second) => contactAll(router, second * 1_000));
   t.true((router.level('w', 6_000) ?? 0) > 0);
 });
@@ -105,8 +105,8 @@
 test('no share is reserved for a router that has announced its stop', (t) => {
   const [stopped = '', ...remaining] = shardPeers;
   const router = createRouter({ peers: [stopped] });
-  router.noteHeard(stopped, 0);
-  router.noteLeft(stopped);
+  router.noteContact(stopped, 0);
+  router.noteStopped(stopped);
   take(router, 1_000, 5_000);
   t.is(Math.round(router.level('w', 5_500) ?? 0), 500);
   t.is(remaining.length, 22);
--- a/packages/decisions/src/backoffPeriods.ts
+++ b/packages/decisions/src/backoffPeriods.ts
@@ -5,7 +5,7 @@
  */
 import { createBoundedMap } from './boundedMap';
 
-export interface RestPeriods {
+export interface BackoffPeriods {
   /** The server asks for a backoff of `forMs` from now on; true if it had none before. */
   note(serverId: string, forMs: number, nowMs: number): boolean;
   /** Time until the server's backoff period ends; 0 if it has none. */
@@ -19,7 +19,7 @@
 /** Periods are kept when their server is removed, since it may come back before they end. */
 const maxServers = 4_096;
 
-export function createRestPeriods(): RestPeriods {
+export function createBackoffPeriods(): BackoffPeriods {
   const endsAtMs = createBoundedMap<string, number>({ maxEntries: maxServers });
 
   function dropExpired(nowMs: number): void {
--- a/packages/decisions/src/baselines.ts
+++ b/packages/decisions/src/baselines.ts
@@ -28,7 +28,7 @@
   reservesFirst: boolean;
 }
 
-export function planOf(policy: PlacementPolicy): PolicyPlan {
+export function resolvePolicyPlan(policy: PlacementPolicy): PolicyPlan {
   switch (policy) {
     case 'default':
       return { workers: 'bids', reservesFirst: true };
@@ -71,7 +71,7 @@
   }
 }
 
-export interface UnjudgedOptions {
+export interface NominalExpectationOptions {
   promptTokens: number;
   /** Time left until the first-token target. */
   remainingMs: number;
@@ -83,7 +83,7 @@
 }
 
 /** Expected outcome for policies that do not use bids: average durations without waiting. */
-export function expectUnjudged(options: UnjudgedOptions): ReserveExpectation {
+export function nominalExpectation(options: NominalExpectationOptions): ReserveExpectation {
   const { promptTokens, remainingMs, model, linkRates, decodeId, prefillId } = options;
   const location = prefillId === undefined ? 'decode-worker' : 'prefill-worker';
   const prefillMs = promptTokens * model.prefillMsPerToken[location];
--- a/packages/decisions/src/bidChoice.ts
+++ b/packages/decisions/src/bidChoice.ts
@@ -7,7 +7,7 @@
 import type { Bid } from '@bluebellhitch/protocol';
 import {
   decidePrefill,
-  usableSlackMs,
+  latestUsableInMs,
   type ExpectedOutcome,
   type LatencyTargets,
   type PhasePrediction,
@@ -240,7 +240,7 @@
   return {
     plan,
     decision: decidePrefill(decisionOptions),
-    waitLimitMs: Math.max(plan.prediction.usableInMs, usableSlackMs(decisionOptions)),
+    waitLimitMs: Math.max(plan.prediction.usableInMs, latestUsableInMs(decisionOptions)),
   };
 }
 
--- a/packages/decisions/src/eventSize.ts
+++ b/packages/decisions/src/eventSize.ts
@@ -19,7 +19,7 @@
   /** Records a finished response for which the caller had announced an output length. */
   observe(hintTokens: number, events: number): void;
   /** Undefined until something has been measured. */
-  tokens(): number | undefined;
+  tokensPerEvent(): number | undefined;
   forget(serverId: string): void;
 }
 
@@ -52,7 +52,7 @@
         fromHints.observe(hintTokens / events);
       }
     },
-    tokens: () => fromReports.value() || fromHints.value() || undefined,
+    tokensPerEvent: () => fromReports.value() || fromHints.value() || undefined,
     forget: (serverId) => lastRuns.delete(serverId),
   };
 }
--- a/packages/decisions/src/expectedValue.ts
+++ b/packages/decisions/src/expectedValue.ts
@@ -72,8 +72,8 @@
 const minimumRetryAfterMs = 100;
 
 export function decidePrefill(options: PrefillDecisionOptions): PrefillDecision {
-  const expected = expectOutcome(options);
-  const slackMs = usableSlackMs(options);
+  const expected = estimateOutcome(options);
+  const slackMs = latestUsableInMs(options);
   if (expected.value > 0) {
     return { kind: 'start', startInMs: startInMs(options.prediction), late: false, expected };
   }
@@ -89,7 +89,7 @@
   return { kind: 'refuse', retryAfterMs: Math.max(minimumRetryAfterMs, excessMs), expected };
 }
 
-export function expectOutcome(options: PrefillDecisionOptions): ExpectedOutcome {
+export function estimateOutcome(options: PrefillDecisionOptions): ExpectedOutcome {
   const { weights, displacedGoodput = 0 } = options;
   const firstTokenMs = options.elapsedMs + predictFirstTokenMs(options.prediction);
   const probability = betweenTokensProbability(options) * firstTokenProbability(options);
@@ -110,7 +110,7 @@
  * Latest `usableInMs` at which the prefill would still be worth starting; negative if there is none.
  * Sent to the agent as the longest useful wait for the slot.
  */
-export function usableSlackMs(options: PrefillDecisionOptions): number {
+export function latestUsableInMs(options: PrefillDecisionOptions): number {
   const { prediction, targets, elapsedMs, firstTokenDeviation } = options;
   const requiredProbability = breakEvenProbability(options) / betweenTokensProbability(options);
   if (requiredProbability >= 1) {
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,8 +1,8 @@
 export { createEventSize, type EventSize, type ReportedRun } from './eventSize';
-export { chooseFollowers, type RelayChoiceOptions } from './relayChoice';
+export { chooseRelays, type RelayChoiceOptions } from './relayChoice';
 export {
   createMemoryForecast,
-  survival,
+  survivalProbability,
   type MemoryForecast,
   type MemoryForecastOptions,
 } from './memoryForecast';
@@ -15,14 +15,14 @@
 export { createOutputLengths, type LengthEstimate, type OutputLengths } from './outputLengths';
 export { backoffDelayMs, type BackoffOptions } from './backoff';
 export {
-  expectUnjudged,
+  nominalExpectation,
   placementPolicies,
-  planOf,
+  resolvePolicyPlan,
   rankWorkers,
   type PlacementPolicy,
   type PolicyPlan,
   type RankOptions,
-  type UnjudgedOptions,
+  type NominalExpectationOptions,
 } from './baselines';
 export {
   bidRefusalReasons,
@@ -48,10 +48,10 @@
 } from './candidates';
 export {
   decidePrefill,
-  expectOutcome,
+  estimateOutcome,
   predictFirstTokenMs,
   probabilityWithin,
-  usableSlackMs,
+  latestUsableInMs,
   type ExpectedOutcome,
   type LatencyTargets,
   type PhasePrediction,
@@ -77,7 +77,7 @@
   createLoadHints,
   loadPressure,
   type AgedHint,
-  type InstanceOutlook,
+  type LoadEstimate,
   type LoadHints,
   type LoadHintsOptions,
 } from './loadHints';
@@ -99,12 +99,12 @@
 export {
   createPhaseModels,
   initialPhaseModel,
-  prefillPlaces,
+  prefillLocations,
   type PhaseModel,
   type PhaseModels,
   type PhaseModelsOptions,
   type PhaseObservation,
-  type PrefillPlace,
+  type PrefillLocation,
 } from './phaseModel';
 export {
   createPrefillBacklog,
@@ -207,7 +207,7 @@
   type NamedQuota,
   type Quota,
   type QuotaDecision,
-  type QuotaNews,
+  type QuotaAnnouncement,
   type QuotaSlack,
   type QuotaUse,
   type SharedQuota,
@@ -215,8 +215,8 @@
 } from './sharedQuota';
 export {
   createSharedPermits,
-  type LimitSighting,
+  type LimitObservation,
   type SharedPermits,
   type SharedPermitsOptions,
 } from './sharedPermits';
-export { createRestPeriods, maxBackoffMs, type RestPeriods } from './backoffPeriods';
+export { createBackoffPeriods, maxBackoffMs, type BackoffPeriods } from './backoffPeriods';
--- a/packages/decisions/src/leaseTable.ts
+++ b/packages/decisions/src/leaseTable.ts
@@ -42,7 +42,7 @@
   /** Ends a lease whose memory is free; false if it has already ended. */
   end(attemptId: string): boolean;
   /** Gives promised leases their memory, oldest first, while it fits; returns these leases. */
-  settle(): Readonly<Lease>[];
+  holdPromised(): Readonly<Lease>[];
   setCapacity(capacity: LeaseCapacity): void;
   get(attemptId: string): Readonly<Lease> | undefined;
   leases(): Readonly<Lease>[];
@@ -254,7 +254,7 @@
     lapsed,
     startRelease,
     end,
-    settle: holdPromised,
+    holdPromised,
     totals,
     get: (attemptId) => leases.get(attemptId),
     leases: () => [...leases.values()],
--- a/packages/decisions/src/loadHints.ts
+++ b/packages/decisions/src/loadHints.ts
@@ -21,7 +21,7 @@
   freshness: number;
 }
 
-export interface InstanceOutlook {
+export interface LoadEstimate {
   /** Expected pressure on the instance, see `loadPressure`; the average if there is no hint. */
   pressure: number;
   /** Whether the instance has recently reported that it takes no new work. */
@@ -31,7 +31,7 @@
 export interface LoadHints {
   record(instanceId: string, hint: LoadHint, nowMs: number): void;
   get(instanceId: string, nowMs: number): AgedHint | undefined;
-  estimateLoad(instanceId: string, nowMs: number): InstanceOutlook;
+  estimateLoad(instanceId: string, nowMs: number): LoadEstimate;
   /** Whether a recent hint reports that new work would wait longer than `waitMs`. */
   isSaturated(instanceId: string, waitMs: number, nowMs: number): boolean;
   /** The role that the instance last reported itself, which is newer than the instance list. */
@@ -83,7 +83,7 @@
     return { hint: entry.hint, ageMs, freshness: freshnessAt(ageMs) };
   }
 
-  function estimateLoad(instanceId: string, nowMs: number): InstanceOutlook {
+  function estimateLoad(instanceId: string, nowMs: number): LoadEstimate {
     const entry = recorded.get(instanceId);
     if (entry === undefined) {
       return { pressure: averagePressure.mean(), leaving: false };
--- a/packages/decisions/src/memoryForecast.ts
+++ b/packages/decisions/src/memoryForecast.ts
@@ -8,25 +8,25 @@
  * streams are spread evenly over their lifetimes, it reserves too much.
  */
 
-import type { StreamOutlook } from '@bluebellhitch/protocol';
+import type { StreamEstimate } from '@bluebellhitch/protocol';
 
 export interface MemoryForecastOptions {
-  streams: readonly StreamOutlook[];
+  streams: readonly StreamEstimate[];
   /** Tokens in use that none of the streams accounts for. */
   otherTokens?: number;
   capacityTokens: number;
   /** Shape parameter of the length distribution, larger for narrower ones; see `survivalProbability`. */
   lengthShape: number;
   /** Safety margin above the mean demand, in standard deviations. */
-  caution: number;
+  marginDeviations: number;
 }
 
 export interface MemoryForecast {
   /** Fewest free tokens over the forecast period; negative if memory is expected to run out. */
   freeTokens(): number;
   /** The same with one more stream. */
-  freeTokensWith(stream: StreamOutlook): number;
-  add(stream: StreamOutlook): void;
+  freeTokensWith(stream: StreamEstimate): number;
+  add(stream: StreamEstimate): void;
 }
 
 /** Memory that the streams hold at one moment in the future. */
@@ -46,20 +46,14 @@
 const horizonFractions = [0, 0.15, 0.3, 0.45, 0.6, 0.8, 1, 1.25, 1.5, 2];
 
 export function createMemoryForecast(options: MemoryForecastOptions): MemoryForecast {
-  const {
-    streams,
-    otherTokens = 0,
-    capacityTokens,
-    lengthShape,
-    caution: marginDeviations,
-  } = options;
+  const { streams, otherTokens = 0, capacityTokens, lengthShape, marginDeviations } = options;
   const freeNow = capacityTokens - otherTokens;
   let demands = streams.length === 0 ? undefined : createDemands(averageMedianTokens(streams));
   streams.forEach(add);
 
-  function addStream(demand: MemoryDemand, stream: StreamOutlook): MemoryDemand {
+  function addStream(demand: MemoryDemand, stream: StreamEstimate): MemoryDemand {
     const heldTokens = stream.promptTokens + stream.emittedTokens + demand.aheadTokens;
-    const runningProbability = survival(stream, demand.aheadTokens, lengthShape);
+    const runningProbability = survivalProbability(stream, demand.aheadTokens, lengthShape);
     return {
       aheadTokens: demand.aheadTokens,
       maxTokens: demand.maxTokens + heldTokens,
@@ -78,12 +72,12 @@
     return freeNow - Math.max(0, ...all.map(neededTokens));
   }
 
-  function demandsWith(stream: StreamOutlook): MemoryDemand[] {
+  function demandsWith(stream: StreamEstimate): MemoryDemand[] {
     const current = demands ?? createDemands(stream.medianOutputTokens);
     return current.map((demand) => addStream(demand, stream));
   }
 
-  function add(stream: StreamOutlook): void {
+  function add(stream: StreamEstimate): void {
     demands = demandsWith(stream);
   }
 
@@ -94,7 +88,7 @@
   };
 }
 
-function averageMedianTokens(streams: readonly StreamOutlook[]): number {
+function averageMedianTokens(streams: readonly StreamEstimate[]): number {
   const sum = streams.reduce((total, { medianOutputTokens }) => total + medianOutputTokens, 0);
   return sum / streams.length;
 }
@@ -113,8 +107,8 @@
  * close to their actual log-normal distribution, has a closed form, and expects a stream that has exceeded its median
  * to continue for long.
  */
-export function survival(
-  { emittedTokens, medianOutputTokens }: StreamOutlook,
+export function survivalProbability(
+  { emittedTokens, medianOutputTokens }: StreamEstimate,
   aheadTokens: number,
   lengthShape: number,
 ): number {
--- a/packages/decisions/src/phaseModel.ts
+++ b/packages/decisions/src/phaseModel.ts
@@ -5,16 +5,16 @@
 import { createBoundedMap } from './boundedMap';
 import { createRunningEstimate } from './runningEstimate';
 
-export const prefillPlaces = {
+export const prefillLocations = {
   prefillWorker: 'prefill-worker',
   decodeWorker: 'decode-worker',
 } as const;
-export type PrefillPlace = (typeof prefillPlaces)[keyof typeof prefillPlaces];
+export type PrefillLocation = (typeof prefillLocations)[keyof typeof prefillLocations];
 
 /** Estimates for one service. */
 export interface PhaseModel {
   /** Milliseconds per uncached prompt token. */
-  prefillMsPerToken: Record<PrefillPlace, number>;
+  prefillMsPerToken: Record<PrefillLocation, number>;
   kvBytesPerToken: number;
   /** Prefill size to which the service document's weight on wasted prefill refers. */
   averagePrefillTokens: number;
@@ -25,7 +25,7 @@
 }
 
 export interface PhaseObservation {
-  place: PrefillPlace;
+  location: PrefillLocation;
   uncachedTokens: number;
   prefillMs: number;
   /** Absent where no KV cache was exported. */
@@ -82,12 +82,12 @@
 type RunningEstimate = ReturnType<typeof createRunningEstimate>;
 
 function createServiceEstimates(initial: PhaseModel) {
-  const perToken = (location: PrefillPlace) =>
+  const perToken = (location: PrefillLocation) =>
     createRunningEstimate({ initialMean: initial.prefillMsPerToken[location] });
   return {
     prefillMsPerToken: {
-      [prefillPlaces.prefillWorker]: perToken(prefillPlaces.prefillWorker),
-      [prefillPlaces.decodeWorker]: perToken(prefillPlaces.decodeWorker),
+      [prefillLocations.prefillWorker]: perToken(prefillLocations.prefillWorker),
+      [prefillLocations.decodeWorker]: perToken(prefillLocations.decodeWorker),
     },
     kvBytesPerToken: createRunningEstimate({ initialMean: initial.kvBytesPerToken }),
     prefillTokens: createRunningEstimate({
@@ -108,7 +108,7 @@
 }
 
 function observePrefill(estimates: ServiceEstimates, observation: PhaseObservation): void {
-  const { place: location, uncachedTokens, prefillMs, kvBytes, promptTokens } = observation;
+  const { location, uncachedTokens, prefillMs, kvBytes, promptTokens } = observation;
   estimates.prefillTokens.observe(promptTokens);
   if (uncachedTokens > 0) {
     estimates.prefillMsPerToken[location].observe(prefillMs / uncachedTokens);
@@ -127,8 +127,8 @@
 function toModel(estimates: ServiceEstimates): PhaseModel {
   return {
     prefillMsPerToken: {
-      [prefillPlaces.prefillWorker]: estimates.prefillMsPerToken['prefill-worker'].mean(),
-      [prefillPlaces.decodeWorker]: estimates.prefillMsPerToken['decode-worker'].mean(),
+      [prefillLocations.prefillWorker]: estimates.prefillMsPerToken['prefill-worker'].mean(),
+      [prefillLocations.decodeWorker]: estimates.prefillMsPerToken['decode-worker'].mean(),
     },
     kvBytesPerToken: estimates.kvBytesPerToken.mean(),
     averagePrefillTokens: estimates.prefillTokens.mean(),
--- a/packages/decisions/src/quarantine.ts
+++ b/packages/decisions/src/quarantine.ts
@@ -67,8 +67,8 @@
   merge(record: QuarantineRecord, nowEpochMs: number): boolean;
   record(service: string, fingerprint: string): QuarantineRecord | undefined;
   /** Records that a request with strikes runs on a server. */
-  place(service: string, attemptId: string, instanceId: string): void;
-  unplace(attemptId: string): void;
+  addPlacement(service: string, attemptId: string, instanceId: string): void;
+  removePlacement(attemptId: string): void;
   /** Servers that run a request of the service with strikes: no other such request may join it. */
   avoidInstances(service: string): ReadonlySet<string>;
   /** Removes expired records. */
@@ -150,8 +150,9 @@
     clear,
     merge,
     record: recordOf,
-    place: (service, attemptId, instanceId) => placements.set(attemptId, { service, instanceId }),
-    unplace: (attemptId) => {
+    addPlacement: (service, attemptId, instanceId) =>
+      placements.set(attemptId, { service, instanceId }),
+    removePlacement: (attemptId) => {
       placements.delete(attemptId);
     },
     avoidInstances,
--- a/packages/decisions/src/relayChoice.ts
+++ b/packages/decisions/src/relayChoice.ts
@@ -20,7 +20,7 @@
 const choiceKey = 'followers';
 
 /** Returns the same order at all routers that know the same addresses. */
-export function chooseFollowers(options: RelayChoiceOptions): readonly string[] {
+export function chooseRelays(options: RelayChoiceOptions): readonly string[] {
   const routers = [options.ownAddress, ...options.liveAddresses];
   return routers.length < minRouters
     ? routers
--- a/packages/decisions/src/sharedPermits.ts
+++ b/packages/decisions/src/sharedPermits.ts
@@ -18,7 +18,7 @@
 import { rendezvousOrder } from '@bluebellhitch/shared';
 
 /** A limit read in a server's response; without a rate, its responses no longer name one. */
-export interface LimitSighting {
+export interface LimitObservation {
   serverId: string;
   requestsPerSecond?: number;
   /** Time since the router that observed it read the response. */
@@ -36,7 +36,7 @@
   /** Records the limit in a response read here; true if the other routers should learn of it at once. */
   note(serverId: string, requestsPerSecond: number | undefined, nowMs: number): boolean;
   /** Applies the observation of another router, unless a newer one is known. */
-  hear(observation: LimitSighting, nowMs: number): void;
+  applyRemote(observation: LimitObservation, nowMs: number): void;
   /** Requests per second that the server names; undefined if it names no limit. */
   limitOf(serverId: string): number | undefined;
   /** Whether `count` permits are available here; always true for a server without a limit. */
@@ -52,9 +52,9 @@
   /** Time until this router's bucket holds a permit; undefined if it issues none. */
   waitMs(serverId: string, nowMs: number): number | undefined;
   /** Limits that this router itself has observed since `sinceMs`. */
-  sightingsSince(sinceMs: number, nowMs: number): LimitSighting[];
+  observationsSince(sinceMs: number, nowMs: number): LimitObservation[];
   forget(serverId: string): void;
-  limitedCount(): number;
+  limitedServerCount(): number;
 }
 
 interface LimitedServer {
@@ -230,7 +230,10 @@
     return isSignificant(before, requestsPerSecond);
   }
 
-  function applyRemote({ serverId, requestsPerSecond, ageMs }: LimitSighting, nowMs: number): void {
+  function applyRemote(
+    { serverId, requestsPerSecond, ageMs }: LimitObservation,
+    nowMs: number,
+  ): void {
     const observedAtMs = nowMs - Math.max(0, ageMs);
     if (requestsPerSecond === undefined && limitedServer(serverId) === undefined) {
       return;
@@ -277,7 +280,7 @@
       routersVersion += 1;
     },
     note,
-    hear: applyRemote,
+    applyRemote,
     limitOf: (serverId) => servers.get(serverId)?.requestsPerSecond,
     mayTake,
     take,
@@ -307,7 +310,7 @@
       const untilWarmMs = isWarmingUp(nowMs) ? warmAtMs() - nowMs : 0;
       return Math.max(untilWarmMs, Math.max(0, 1 - server.level) / perMs);
     },
-    sightingsSince: (sinceMs, nowMs) =>
+    observationsSince: (sinceMs, nowMs) =>
       [...servers]
         .filter(([, { ownObservedAtMs }]) => ownObservedAtMs >= sinceMs)
         .map(([serverId, { requestsPerSecond, ownObservedAtMs }]) => ({
@@ -316,7 +319,7 @@
     forget(serverId) {
       servers.delete(serverId);
     },
-    limitedCount: () =>
+    limitedServerCount: () =>
       [...servers.values()].filter(({ requestsPerSecond }) => requestsPerSecond !== undefined)
         .length,
   };
--- a/packages/decisions/src/sharedQuota.ts
+++ b/packages/decisions/src/sharedQuota.ts
@@ -48,7 +48,7 @@
 }
 
 /** What another router announces. */
-export interface QuotaNews {
+export interface QuotaAnnouncement {
   router: string;
   /** Identifies the incarnation of the router. */
   life: string;
@@ -75,20 +75,20 @@
   setRouters(shardPeers: readonly string[], routerCount: number): void;
   take(name: string, cost: number, nowMs: number): QuotaDecision;
   /** Refunds the cost of a request that has certainly not run. */
-  giveBack(name: string, cost: number, nowMs: number): void;
+  refund(name: string, cost: number, nowMs: number): void;
   /** A message of the router arrived, so whatever it has admitted up to now is known. */
-  noteHeard(router: string, nowMs: number): void;
-  hear(announcement: QuotaNews, nowMs: number): void;
+  noteContact(router: string, nowMs: number): void;
+  applyRemote(announcement: QuotaAnnouncement, nowMs: number): void;
   /** This router has just started and does not know what was admitted before. */
-  isYoung(nowMs: number): boolean;
+  isWarmingUp(nowMs: number): boolean;
   /** The router has stopped and admits nothing more. */
-  noteLeft(router: string): void;
+  noteStopped(router: string): void;
   /** Totals that changed since `sinceMs`, latest first. */
   usesSince(sinceMs: number, nowMs: number): QuotaUse[];
   /** Whether spending that is not announced yet could soon matter to other routers. */
   isUrgent(name: string, nowMs: number): boolean;
   /** All spending so far has been announced. */
-  noteTold(): void;
+  noteAnnounced(): void;
   /** Level of a workspace's bucket; undefined if it has no quota. */
   level(name: string, nowMs: number): number | undefined;
 }
@@ -330,7 +330,7 @@
   }
 
   function applyRemote(
-    { router: address, life: incarnation, isYoung: isSenderWarmingUp, uses }: QuotaNews,
+    { router: address, life: incarnation, isYoung: isSenderWarmingUp, uses }: QuotaAnnouncement,
     nowMs: number,
   ): void {
     const previousIncarnation = routers.get(address)?.incarnation;
@@ -373,11 +373,11 @@
     setQuotas,
     setRouters: routers.set,
     take,
-    giveBack: (name, cost, nowMs) => spend(name, -cost, nowMs),
-    noteHeard: noteContact,
-    hear: applyRemote,
-    isYoung: routers.isWarmingUp,
-    noteLeft: routers.noteStopped,
+    refund: (name, cost, nowMs) => spend(name, -cost, nowMs),
+    noteContact,
+    applyRemote,
+    isWarmingUp: routers.isWarmingUp,
+    noteStopped: routers.noteStopped,
     usesSince: (sinceMs, nowMs) =>
       [...ownUsage.entries()]
         .filter(([, { changedAtMs }]) => changedAtMs >= sinceMs)
@@ -388,7 +388,7 @@
       const shardUnannounced = (bucket?.unannounced ?? 0) * routers.count(nowMs);
       return bucket !== undefined && shardUnannounced > urgentShare * Math.max(0, bucket.level);
     },
-    noteTold: () =>
+    noteAnnounced: () =>
       buckets.forEach((bucket) => {
         bucket.unannounced = 0;
       }),
--- a/packages/entry/src/baselinePlacement.ts
+++ b/packages/entry/src/baselinePlacement.ts
@@ -3,7 +3,7 @@
  * reserve decode memory afterwards, and try other decode workers where one refuses.
  */
 import {
-  expectUnjudged,
+  nominalExpectation,
   rankWorkers,
   workerNeeds,
   type PolicyPlan,
@@ -121,7 +121,7 @@
   const { context, request, emitted } = run;
   const { runtimes } = context;
   const { service, targets } = request.document;
-  const expected = expectUnjudged({
+  const expected = nominalExpectation({
     promptTokens: request.promptTokens + emitted.tokenCount,
     remainingMs: targets.firstTokenMs - (monotonicNowMs() - request.arrivedAtMs),
     model: runtimes.phaseModels.model(service),
--- a/packages/entry/src/bin.ts
+++ b/packages/entry/src/bin.ts
@@ -1,7 +1,7 @@
 /** `bluebell-entry`: takes callers' requests and routes them to agents. */
 import { innerSecurityOf, readInnerKeys } from '@bluebellhitch/security';
 import { Result } from 'neverthrow';
-import { exitCodes, exitForSettings, loadSettingsOrExit } from '@bluebellhitch/shared';
+import { exitCodes, exitOnInvalidSettings, loadSettingsOrExit } from '@bluebellhitch/shared';
 import { installProcessLifecycle } from '@bluebellhitch/telemetry';
 import { readCallersTls } from './callersTls';
 import { startEntryProcess } from './entryProcess';
@@ -16,7 +16,7 @@
 
 const files = Result.combineWithAllErrors([readInnerKeys(settings), readCallersTls(settings)]);
 if (files.isErr()) {
-  exitForSettings('bluebell-entry', files.error.flat());
+  exitOnInvalidSettings('bluebell-entry', files.error.flat());
 }
 const [innerKeys, callersTls] = files.value;
 const security = innerSecurityOf(innerKeys, settings.instanceId);
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -205,7 +205,7 @@
 function applyAccepted({ record, services, metrics, context }: RecordTarget): void {
   if (record.removed) {
     services.remove(record.key, record.generation);
-    metrics.forgetService(record.key);
+    metrics.removeServiceLabels(record.key);
     context.runtimes.forget(record.key);
     return;
   }
@@ -217,7 +217,7 @@
     return;
   }
   const { document, generation } = entry;
-  metrics.describeService({
+  metrics.addServiceLabels({
     service: document.service,
     institution: document.institution,
     classNames: document.classes.map(({ name }) => name),
--- a/packages/entry/src/modelAttempt.ts
+++ b/packages/entry/src/modelAttempt.ts
@@ -1,5 +1,5 @@
 /** One attempt of a model request: placement, claim, prefill and stream, and the release of its leases. */
-import { placementPolicies, planOf } from '@bluebellhitch/decisions';
+import { placementPolicies, resolvePolicyPlan } from '@bluebellhitch/decisions';
 import { monotonicNowMs, refusalReasons } from '@bluebellhitch/shared';
 import {
   retryCauses,
@@ -55,7 +55,7 @@
   const { policy } = run.context.runtimes;
   return policy === placementPolicies.default
     ? placeAttempt(run, attemptId)
-    : placeByBaseline({ run, attemptId, plan: planOf(policy), claim });
+    : placeByBaseline({ run, attemptId, plan: resolvePolicyPlan(policy), claim });
 }
 
 async function runPlaced(
--- a/packages/entry/src/phaseLearning.ts
+++ b/packages/entry/src/phaseLearning.ts
@@ -1,5 +1,5 @@
 /** Feeds what an attempt measured into the models that predict later ones. */
-import { prefillPlaces } from '@bluebellhitch/decisions';
+import { prefillLocations } from '@bluebellhitch/decisions';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { ModelRun } from './modelTypes';
 import type { Placement } from './placement';
@@ -25,7 +25,7 @@
   const workMs = Math.max(0, busyMs - placement.expected.prediction.stepMs);
   if (attempt.prefill === undefined) {
     phaseModels.observePrefill(service, {
-      place: prefillPlaces.decodeWorker,
+      location: prefillLocations.decodeWorker,
       uncachedTokens: placement.expected.uncachedTokens,
       prefillMs: workMs,
       promptTokens: run.request.promptTokens,
--- a/packages/entry/src/prefillStage.ts
+++ b/packages/entry/src/prefillStage.ts
@@ -137,7 +137,7 @@
   noteOutcome(context, service, lease.instance.id, 'success');
   context.metrics.observePhase(requestPhases.prefill, labelsOf(request), reply.prefillMs);
   context.runtimes.phaseModels.observePrefill(service, {
-    place: 'prefill-worker',
+    location: 'prefill-worker',
     uncachedTokens,
     prefillMs: reply.prefillMs,
     kvBytes: reply.kvBytes,
--- a/packages/entry/src/strikes.ts
+++ b/packages/entry/src/strikes.ts
@@ -103,8 +103,8 @@
       }),
     avoidInstances: quarantine.avoidInstances,
     place(service, attemptId, instanceId) {
-      quarantine.place(service, attemptId, instanceId);
-      return () => quarantine.unplace(attemptId);
+      quarantine.addPlacement(service, attemptId, instanceId);
+      return () => quarantine.removePlacement(attemptId);
     },
     report,
     clear(service, fingerprint) {
--- a/packages/membership/src/feedServer.ts
+++ b/packages/membership/src/feedServer.ts
@@ -1,5 +1,5 @@
 /** Answers other processes' long polls of this process's feed. Any entry may be asked. */
-import type { FeedReply, FeedRequest, InstanceListNews } from '@bluebellhitch/protocol';
+import type { FeedReply, FeedRequest, InstanceListUpdate } from '@bluebellhitch/protocol';
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
 import { concernsServices } from './feedRecords';
 import type { FeedStore } from './feedStore';
@@ -48,7 +48,7 @@
     };
   }
 
-  function listNews(request: FeedRequest, askedAtMs: number): InstanceListNews | undefined {
+  function listNews(request: FeedRequest, askedAtMs: number): InstanceListUpdate | undefined {
     const known = request.instanceList;
     const scope = request.services === undefined ? 'all' : 'entries';
     const own = directory?.listing(scope);
--- a/packages/membership/src/instanceDirectory.ts
+++ b/packages/membership/src/instanceDirectory.ts
@@ -3,7 +3,7 @@
  * learned first hand. A stale view costs latency, never correctness.
  */
 import type { PlatformApi, PlatformInstance } from '@bluebellhitch/objects';
-import type { InstanceListNews, InstanceListState } from '@bluebellhitch/protocol';
+import type { InstanceListUpdate, InstanceListState } from '@bluebellhitch/protocol';
 import {
   createBackgroundLoop,
   delay,
@@ -47,7 +47,7 @@
   /** The platform's list as it was read, for others; `undefined` before the first one. */
   listing(scope: ListScope): InstanceListing | undefined;
   /** Takes another process's list where it was read from the platform later than the own one. */
-  offer(news: InstanceListNews, scope: ListScope): void;
+  offer(news: InstanceListUpdate, scope: ListScope): void;
   /** Age of the list, or `undefined` before the first one. */
   viewAgeMs(): number | undefined;
   start(): void;
@@ -172,7 +172,7 @@
   }
 
   /** Relays read at different times: an older list after a younger one would bring back the dead. */
-  function offer({ digest, ageMs, instances }: InstanceListNews, scope: ListScope): void {
+  function offer({ digest, ageMs, instances }: InstanceListUpdate, scope: ListScope): void {
     const readAtMs = monotonicNowMs() - ageMs;
     if (listedAtMs !== undefined && readAtMs <= listedAtMs) {
       return;
--- a/packages/objects/src/callFailures.ts
+++ b/packages/objects/src/callFailures.ts
@@ -13,17 +13,17 @@
 ];
 
 /** Error of a call that threw because its connection failed or it timed out. */
-export function lostAnswer(method: string, cause: unknown): PlatformError {
+export function lostResponseError(method: string, cause: unknown): PlatformError {
   const detail = cause instanceof Error ? cause.message : String(cause);
   const code = (cause as { code?: unknown } | undefined)?.code;
   if (typeof code === 'string' && notSentCodes.includes(code)) {
     return { kind: 'unavailable', detail: `${code}: ${detail}` };
   }
-  return brokenAnswer(method, detail);
+  return unusableResponseError(method, detail);
 }
 
 /** Error of a call whose response cannot be used: a write may have taken effect, a read has no effect. */
-export function brokenAnswer(method: string, detail: string): PlatformError {
+export function unusableResponseError(method: string, detail: string): PlatformError {
   return { kind: method === 'GET' ? 'unavailable' : 'unknown-outcome', detail };
 }
 
--- a/packages/objects/src/httpPlatformClient.ts
+++ b/packages/objects/src/httpPlatformClient.ts
@@ -13,7 +13,7 @@
   storedObjectSchema,
   watchReplySchema,
 } from './httpPlatformSchema';
-import { brokenAnswer, lostAnswer, parseJson } from './callFailures';
+import { unusableResponseError, lostResponseError, parseJson } from './callFailures';
 import type { PlatformApi, PlatformError } from './platformApi';
 
 export interface HttpPlatformClientOptions {
@@ -119,7 +119,7 @@
     const text = await response.body.text();
     return readResponse(call, response.statusCode, text);
   } catch (cause) {
-    return err(lostAnswer(call.method, cause));
+    return err(lostResponseError(call.method, cause));
   }
 }
 
@@ -131,8 +131,12 @@
   const body = status === noContentStatus ? undefined : parseJson(text);
   if (status >= 200 && status < 300) {
     const parsed = call.schema.safeParse(body);
-    return parsed.success ? ok(parsed.data) : err(brokenAnswer(call.method, 'unreadable answer'));
+    return parsed.success
+      ? ok(parsed.data)
+      : err(unusableResponseError(call.method, 'unreadable answer'));
   }
   const failure = platformErrorSchema.safeParse(body);
-  return err(failure.success ? failure.data : brokenAnswer(call.method, `status ${status}`));
+  return err(
+    failure.success ? failure.data : unusableResponseError(call.method, `status ${status}`),
+  );
 }
--- a/packages/objects/src/index.ts
+++ b/packages/objects/src/index.ts
@@ -1,4 +1,4 @@
-export { brokenAnswer, lostAnswer, parseJson } from './callFailures';
+export { unusableResponseError, lostResponseError, parseJson } from './callFailures';
 export {
   objectKinds,
   type ObjectApi,
--- a/packages/protocol/__tests__/changeMessages.test.ts
+++ b/packages/protocol/__tests__/changeMessages.test.ts
@@ -1,5 +1,9 @@
 import test from 'ava';
-import { decodeToldChanges, encodeToldChanges, isToldChanges } from '@bluebellhitch/protocol';
+import {
+  decodeRelayedChanges,
+  encodeRelayedChanges,
+  isRelayedChanges,
+} from '@bluebellhitch/protocol';
 
 const message = {
   kindIndex: 1,
@@ -14,20 +18,21 @@
 };
 
 test('changes survive encoding and decoding', (t) => {
-  t.deepEqual(decodeToldChanges(encodeToldChanges(message)), message);
+  t.deepEqual(decodeRelayedChanges(encodeRelayedChanges(message)), message);
   const withoutChanges = { ...message, backAgeMs: undefined, changes: [] };
-  t.deepEqual(decodeToldChanges(encodeToldChanges(withoutChanges)), withoutChanges);
+  t.deepEqual(decodeRelayedChanges(encodeRelayedChanges(withoutChanges)), withoutChanges);
 });
 
 test('an object with a null value is not decoded as removed', (t) => {
   const change = { kind: 'put' as const, key: 'i-1', revision: 103, value: null };
-  t.deepEqual(decodeToldChanges(encodeToldChanges({ ...message, changes: [change] }))?.changes, [
-    change,
-  ]);
+  t.deepEqual(
+    decodeRelayedChanges(encodeRelayedChanges({ ...message, changes: [change] }))?.changes,
+    [change],
+  );
 });
 
 test('other bytes are not decoded', (t) => {
-  t.false(isToldChanges(Buffer.from('[3,"10.0.0.1:7000"]')));
-  t.is(decodeToldChanges(Buffer.from('["changes-1",1')), undefined);
-  t.is(decodeToldChanges(Buffer.from('["changes-1",1,2,3,-4,null,[]]')), undefined);
+  t.false(isRelayedChanges(Buffer.from('[3,"10.0.0.1:7000"]')));
+  t.is(decodeRelayedChanges(Buffer.from('["changes-1",1')), undefined);
+  t.is(decodeRelayedChanges(Buffer.from('["changes-1",1,2,3,-4,null,[]]')), undefined);
 });
--- a/packages/protocol/__tests__/quotaMessages.test.ts
+++ b/packages/protocol/__tests__/quotaMessages.test.ts
@@ -4,7 +4,7 @@
   decodeQuotaMessage,
   encodeProofMessage,
   encodeQuotaMessage,
-  mostToldUses,
+  maxUsesPerMessage,
   type ProofMessage,
   type QuotaMessage,
 } from '@bluebellhitch/protocol';
@@ -69,7 +69,7 @@
     level: 54_321,
   }));
   const bytes = encodeQuotaMessage({ ...message, uses });
-  t.is(decodeQuotaMessage(bytes)?.uses.length, mostToldUses);
+  t.is(decodeQuotaMessage(bytes)?.uses.length, maxUsesPerMessage);
   t.true(bytes.length <= 2_048);
 });
 
--- a/packages/protocol/src/changeMessages.ts
+++ b/packages/protocol/src/changeMessages.ts
@@ -7,17 +7,17 @@
 import { parseDatagram } from './datagram';
 import type { StorePosition } from './storePosition';
 
-export type ToldChange =
+export type RelayedChange =
   | { kind: 'put'; key: string; revision: StorePosition; value: unknown }
   | { kind: 'removed'; key: string; revision: StorePosition };
 
 /** All changes to one kind of object after `fromRevision`, up to and including `toRevision`. */
-export interface ToldChanges {
+export interface RelayedChanges {
   /** Index into the fixed list of object kinds that routers follow. */
   kindIndex: number;
   fromRevision: StorePosition;
   toRevision: StorePosition;
-  changes: ToldChange[];
+  changes: RelayedChange[];
   /** Time since the platform's last response to the sender. */
   ageMs: number;
   /** Time since the platform became available again after an outage; absent without a recent outage. */
@@ -46,7 +46,7 @@
     .max(512),
 ]);
 
-export function encodeToldChanges(message: ToldChanges): Buffer {
+export function encodeRelayedChanges(message: RelayedChanges): Buffer {
   const { kindIndex, fromRevision, toRevision, ageMs, backAgeMs } = message;
   const rows = message.changes.map(encodeChange);
   const head = [formatName, kindIndex, fromRevision, toRevision, Math.round(ageMs)];
@@ -56,12 +56,12 @@
 }
 
 /** Checks only the first bytes, without parsing. */
-export function isToldChanges(bytes: Buffer): boolean {
+export function isRelayedChanges(bytes: Buffer): boolean {
   return bytes.subarray(0, formatStart.length).equals(formatStart);
 }
 
 /** Returns undefined for bytes that are not a message of this format. */
-export function decodeToldChanges(bytes: Buffer): ToldChanges | undefined {
+export function decodeRelayedChanges(bytes: Buffer): RelayedChanges | undefined {
   const parsed = parseDatagram(bytes, wireSchema);
   if (parsed === undefined) {
     return undefined;
@@ -82,7 +82,7 @@
   };
 }
 
-function encodeChange(change: ToldChange): unknown[] {
+function encodeChange(change: RelayedChange): unknown[] {
   const { key, revision } = change;
   return change.kind === 'removed' ? [key, revision] : [key, revision, change.value ?? null];
 }
--- a/packages/protocol/src/entryMessages.ts
+++ b/packages/protocol/src/entryMessages.ts
@@ -43,10 +43,10 @@
 export type InstanceListState = z.infer<typeof instanceListStateSchema>;
 
 /** A more recent list; `instances` is absent if the requester already has the same list. */
-export const instanceListNewsSchema = instanceListStateSchema.extend({
+export const instanceListUpdateSchema = instanceListStateSchema.extend({
   instances: z.array(listedInstanceSchema).max(20_000).optional(),
 });
-export type InstanceListNews = z.infer<typeof instanceListNewsSchema>;
+export type InstanceListUpdate = z.infer<typeof instanceListUpdateSchema>;
 
 /** Long poll: replies at once if there are records newer than `cursor`, otherwise after at most `waitMs`. */
 export const feedRequestSchema = z.object({
@@ -65,7 +65,7 @@
   /** Whether `records` holds all records of the relay rather than a delta. */
   snapshot: z.boolean(),
   records: z.array(feedRecordSchema),
-  instanceList: instanceListNewsSchema.optional(),
+  instanceList: instanceListUpdateSchema.optional(),
 });
 export type FeedReply = z.infer<typeof feedReplySchema>;
 
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -62,7 +62,7 @@
   feedRecordSchema,
   feedReplySchema,
   feedRequestSchema,
-  instanceListNewsSchema,
+  instanceListUpdateSchema,
   instanceListStateSchema,
   listedInstanceSchema,
   strikeSchema,
@@ -70,7 +70,7 @@
   type FeedRecord,
   type FeedReply,
   type FeedRequest,
-  type InstanceListNews,
+  type InstanceListUpdate,
   type InstanceListState,
   type ListedInstance,
   type Strike,
@@ -85,30 +85,30 @@
   sampledPrefixDepth,
 } from './prompt';
 export {
-  decodeToldChanges,
-  encodeToldChanges,
-  isToldChanges,
-  type ToldChange,
-  type ToldChanges,
+  decodeRelayedChanges,
+  encodeRelayedChanges,
+  isRelayedChanges,
+  type RelayedChange,
+  type RelayedChanges,
 } from './changeMessages';
 export {
   decodePeerMessage,
   encodePeerMessage,
   isPeerMessage,
   type PeerEngineUse,
-  type StreamOutlook,
+  type StreamEstimate,
   type PeerMessage,
-  type PeerSighting,
+  type PeerContact,
 } from './peerMessages';
 export {
   decodeLimitMessage,
   encodeLimitMessage,
-  mostToldLimits,
+  maxLimitsPerMessage,
   type LimitMessage,
-  type LimitNews,
+  type LimitAnnouncement,
   type PermitAnswer,
   type PermitQuestion,
-  type ToldLimit,
+  type AnnouncedLimit,
 } from './limitMessages';
 export {
   decodeProofMessage,
@@ -116,13 +116,13 @@
   type ProofAnswer,
   type ProofMessage,
   type ProofQuestion,
-  type ToldConfiguration,
+  type AnnouncedConfiguration,
 } from './proofMessages';
 export {
   decodeQuotaMessage,
   encodeQuotaMessage,
-  mostToldUses,
+  maxUsesPerMessage,
   type QuotaMessage,
-  type ToldUse,
+  type AnnouncedUse,
 } from './quotaMessages';
 export { eraOf, maxEra, revisionOf, storePosition, type StorePosition } from './storePosition';
--- a/packages/protocol/src/limitMessages.ts
+++ b/packages/protocol/src/limitMessages.ts
@@ -7,7 +7,7 @@
 import { parseDatagram } from './datagram';
 
 /** The limit that the responses of one server state. */
-export interface ToldLimit {
+export interface AnnouncedLimit {
   serverId: string;
   /** Requests per second from all routers together; absent if its responses no longer state a limit. */
   requestsPerSecond?: number;
@@ -15,9 +15,9 @@
   ageMs: number;
 }
 
-export interface LimitNews {
+export interface LimitAnnouncement {
   kind: 'limit-news';
-  limits: ToldLimit[];
+  limits: AnnouncedLimit[];
 }
 
 export interface PermitQuestion {
@@ -37,10 +37,10 @@
   waitMs: number;
 }
 
-export type LimitMessage = LimitNews | PermitQuestion | PermitAnswer;
+export type LimitMessage = LimitAnnouncement | PermitQuestion | PermitAnswer;
 
 /** Keeps a datagram at about 2,000 bytes with ids of 24 characters. */
-export const mostToldLimits = 48;
+export const maxLimitsPerMessage = 48;
 const names = { news: 'limit-news', question: 'permit-question', answer: 'permit-answer' } as const;
 const formatStarts = Object.values(names).map((name) => Buffer.from(`["${name}"`));
 const count = z.number().int().nonnegative();
@@ -50,7 +50,9 @@
   z
     .tuple([
       z.literal(names.news),
-      z.array(z.tuple([serverId, rate.nullable(), count]).rest(z.unknown())).max(mostToldLimits),
+      z
+        .array(z.tuple([serverId, rate.nullable(), count]).rest(z.unknown()))
+        .max(maxLimitsPerMessage),
     ])
     .rest(z.unknown()),
   z
@@ -71,7 +73,7 @@
       return [
         names.news,
         message.limits
-          .slice(0, mostToldLimits)
+          .slice(0, maxLimitsPerMessage)
           .map(({ serverId: id, requestsPerSecond, ageMs }) => [
             id,
             requestsPerSecond ?? null,
--- a/packages/protocol/src/peerMessages.ts
+++ b/packages/protocol/src/peerMessages.ts
@@ -7,7 +7,7 @@
 import type { StorePosition } from './storePosition';
 
 /** Estimated size of one stream at an engine. */
-export interface StreamOutlook {
+export interface StreamEstimate {
   promptTokens: number;
   emittedTokens: number;
   /** Median output length of comparable streams. */
@@ -18,7 +18,7 @@
 export interface PeerEngineUse {
   serverId: string;
   /** Streams that hold memory at the engine or are about to. */
-  streams: StreamOutlook[];
+  streams: StreamEstimate[];
   /** Prompt tokens that the engine, as a prefill engine, has yet to process for the router. */
   prefillTokens: number;
   /** Local prefills: prompts that the engine, as a decode engine, prefills itself for the router. */
@@ -28,7 +28,7 @@
 }
 
 /** A router, and the time since any router last received a message from it. */
-export interface PeerSighting {
+export interface PeerContact {
   address: string;
   ageMs: number;
 }
@@ -44,7 +44,7 @@
   isFull: boolean;
   engines: PeerEngineUse[];
   /** Other routers known to the sender. */
-  peers: PeerSighting[];
+  peers: PeerContact[];
   /** For each kind of object that routers follow, the newest revision that the sender has seen. */
   seenRevisions: StorePosition[];
 }
@@ -121,11 +121,11 @@
   promptTokens,
   emittedTokens,
   medianOutputTokens,
-}: StreamOutlook): number[] {
+}: StreamEstimate): number[] {
   return [promptTokens, emittedTokens, medianOutputTokens].map(Math.round);
 }
 
-function decodeStreams(numbers: readonly number[]): StreamOutlook[] {
+function decodeStreams(numbers: readonly number[]): StreamEstimate[] {
   const streamCount = Math.floor(numbers.length / numbersPerStream);
   return Array.from({ length: streamCount }, (_none, index) => {
     const [promptTokens = 0, emittedTokens = 0, medianOutputTokens = 0] = numbers.slice(
--- a/packages/protocol/src/proofMessages.ts
+++ b/packages/protocol/src/proofMessages.ts
@@ -23,10 +23,10 @@
   /** Time since the sender started the platform call that showed nothing newer; infinite without such a call. */
   ageMs: number;
   /** The configuration in force at the sender; absent if the sender's release does not announce it. */
-  configuration?: ToldConfiguration;
+  configuration?: AnnouncedConfiguration;
 }
 
-export interface ToldConfiguration {
+export interface AnnouncedConfiguration {
   version: number;
   /** Time since it took effect at the sender. */
   ageMs: number;
--- a/packages/protocol/src/quotaMessages.ts
+++ b/packages/protocol/src/quotaMessages.ts
@@ -6,7 +6,7 @@
 import * as z from 'zod';
 import { parseDatagram } from './datagram';
 
-export interface ToldUse {
+export interface AnnouncedUse {
   workspaceName: string;
   /** Total admitted since the sender started, minus refunds. */
   sum: number;
@@ -25,11 +25,11 @@
   isLast: boolean;
   /** The sender is warming up: it started recently and does not know what was admitted before. */
   isYoung: boolean;
-  uses: ToldUse[];
+  uses: AnnouncedUse[];
 }
 
 /** Keeps a datagram at about 2,000 bytes with names of 20 characters. */
-export const mostToldUses = 48;
+export const maxUsesPerMessage = 48;
 const formatName = 'quota';
 const formatStart = Buffer.from(`["${formatName}"`);
 const amount = z.number().min(-1e15).max(1e15);
@@ -45,14 +45,14 @@
     flag,
     z
       .array(z.tuple([z.string().max(256), amount, amount.nullable()]).rest(z.unknown()))
-      .max(mostToldUses),
+      .max(maxUsesPerMessage),
   ])
   .rest(z.unknown());
 
 export function encodeQuotaMessage(message: QuotaMessage): Buffer {
   const { senderAddress, life, sequence, isLast, isYoung, uses } = message;
   const rows = uses
-    .slice(0, mostToldUses)
+    .slice(0, maxUsesPerMessage)
     .map(({ workspaceName, sum, level }) => [
       workspaceName,
       Math.round(sum),
--- a/packages/replay/src/caller.ts
+++ b/packages/replay/src/caller.ts
@@ -1,5 +1,10 @@
 /** One caller: asks, waits as long as callers do, comes back when told to, and notes how it went. */
-import type { AnswerWriter, CallerExchange, CallerRequest, Refusal } from '@bluebellhitch/routing';
+import type {
+  ResponseWriter,
+  CallerExchange,
+  CallerRequest,
+  Refusal,
+} from '@bluebellhitch/routing';
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
 import type { RequestKind } from './pattern';
 import type { RequestSize } from './requestSizes';
@@ -120,7 +125,7 @@
     clearTimeout(patience);
     patience = setTimeout(() => leaving.abort(), patienceMs);
   };
-  const writer: AnswerWriter = {
+  const writer: ResponseWriter = {
     write() {
       note();
       return true;
@@ -129,20 +134,20 @@
     end() {
       end = { kind: 'whole' };
     },
-    cut() {
+    abort() {
       end = { kind: 'cut' };
     },
   };
   await options.serve({
     request: requestOf(requestId, kind, size, endsAtMs),
     signal: leaving.signal,
-    answer() {
+    respond() {
       end = { kind: 'cut' };
     },
     refuse(refusal) {
       end = { kind: 'refused', refusal };
     },
-    begin: () => writer,
+    startResponse: () => writer,
   });
   clearTimeout(patience);
   return leaving.signal.aborted ? { kind: 'left' } : end;
--- a/packages/replay/src/engineFleet.ts
+++ b/packages/replay/src/engineFleet.ts
@@ -1,5 +1,5 @@
 /** The engines of a replay as the router's backend servers: calls that take a moment on the way. */
-import type { BackendAnswer, BackendApi, CallOutcome } from '@bluebellhitch/routing';
+import type { BackendResponse, BackendApi, CallOutcome } from '@bluebellhitch/routing';
 import { delay } from '@bluebellhitch/shared';
 import type { EngineModel } from './engineModel';
 
@@ -106,13 +106,13 @@
       return engine === undefined ? unreachable : { kind: 'done', value: engine.load() };
     },
     orderStage: () => Promise.resolve(rejected),
-    forget: () => undefined,
+    closeIdleConnections: () => undefined,
     close: () => Promise.resolve(),
   };
   return { backend, reservations };
 }
 
-function answerOf(run: { read: BackendAnswer['body']['read'] }): BackendAnswer {
+function answerOf(run: { read: BackendResponse['body']['read'] }): BackendResponse {
   return {
     status: 200,
     headers: [],
--- a/packages/replay/src/mechanisms.ts
+++ b/packages/replay/src/mechanisms.ts
@@ -3,7 +3,7 @@
  * puts something plainer into their place.
  */
 import type { MemoryForecast } from '@bluebellhitch/decisions';
-import type { StreamOutlook } from '@bluebellhitch/protocol';
+import type { StreamEstimate } from '@bluebellhitch/protocol';
 import type { EngineLoads, StreamSizes } from '@bluebellhitch/routing';
 
 export const mechanisms = {
@@ -28,10 +28,10 @@
 export function withHintsOnly(sizes: StreamSizes): StreamSizes {
   return {
     ...sizes,
-    expect(className, size, events) {
+    estimateStream(className, size, events) {
       const { maxOutputTokens, expectedOutputTokens = maxOutputTokens } = size;
       return {
-        ...sizes.expect(className, size, events),
+        ...sizes.estimateStream(className, size, events),
         medianOutputTokens: Math.min(maxOutputTokens, expectedOutputTokens),
       };
     },
@@ -40,10 +40,10 @@
 
 /** Counts a constant share of each stream's expected memory, whatever it holds now. */
 export function withPlainSums(loads: EngineLoads): EngineLoads {
-  const own = new Map<string, Set<StreamOutlook>>();
-  const told = new Map<string, Map<string, readonly StreamOutlook[]>>();
+  const own = new Map<string, Set<StreamEstimate>>();
+  const told = new Map<string, Map<string, readonly StreamEstimate[]>>();
 
-  function streamsAt(serverId: string): StreamOutlook[] {
+  function streamsAt(serverId: string): StreamEstimate[] {
     const peers = [...told.values()].flatMap((engines) => engines.get(serverId) ?? []);
     return [...(own.get(serverId) ?? []), ...peers];
   }
@@ -83,6 +83,6 @@
   };
 }
 
-function needOf({ promptTokens, medianOutputTokens }: StreamOutlook): number {
+function needOf({ promptTokens, medianOutputTokens }: StreamEstimate): number {
   return promptTokens + plainShare * medianOutputTokens;
 }
--- a/packages/replay/src/quota/quotaReplay.ts
+++ b/packages/replay/src/quota/quotaReplay.ts
@@ -1,6 +1,6 @@
 /** Replays a load for one workspace's quota before a fleet of routers that keep it in one of several ways. */
-import { createSeededRandom, fromAnyPlace, type Random } from '@bluebellhitch/shared';
-import type { QuotaNews } from '@bluebellhitch/decisions';
+import { createSeededRandom, rotateRandomly, type Random } from '@bluebellhitch/shared';
+import type { QuotaAnnouncement } from '@bluebellhitch/decisions';
 import { demandAt, isAt, limitFactorAt, type QuotaLoad, type QuotaStep } from './quotaLoad';
 import { createQuotaKeeper, type QuotaKeeper, type QuotaWay } from './quotaWays';
 
@@ -23,7 +23,7 @@
 
 interface Datagram {
   arrivesAtMs: number;
-  news: QuotaNews;
+  news: QuotaAnnouncement;
 }
 
 interface Router {
@@ -115,7 +115,7 @@
   /** Each question and each answer may be lost. */
   function askIssuers({ address, keeper }: Router, nowMs: number): boolean {
     const issuers = keeper.issuers?.(nowMs) ?? [];
-    return fromAnyPlace(issuers, random)
+    return rotateRandomly(issuers, random)
       .slice(0, mostAsked)
       .some((issuer) => {
         const isHeard = befallen.hear(address, issuer, nowMs) && !befallen.isPaused(issuer, nowMs);
--- a/packages/replay/src/quota/quotaWays.ts
+++ b/packages/replay/src/quota/quotaWays.ts
@@ -4,7 +4,7 @@
   createSharedQuota,
   shareByDemand,
   type Quota,
-  type QuotaNews,
+  type QuotaAnnouncement,
   type QuotaSlack,
   type QuotaUse,
 } from '@bluebellhitch/decisions';
@@ -44,7 +44,7 @@
   /** What the others are told. */
   tell(nowMs: number): QuotaUse[];
   isYoung(nowMs: number): boolean;
-  hear(news: QuotaNews, nowMs: number): void;
+  hear(news: QuotaAnnouncement, nowMs: number): void;
   /** Routers that may admit for this one. */
   issuers?(nowMs: number): readonly string[];
   /** Admits one request for another router. */
@@ -82,11 +82,11 @@
     take: (cost, atMs) => quota.take(workspace, cost, atMs).kind === 'admitted',
     isUrgent: (atMs) => quota.isUrgent(workspace, atMs),
     tell(atMs) {
-      quota.noteTold();
+      quota.noteAnnounced();
       return quota.usesSince(atMs - repeatMs, atMs);
     },
-    isYoung: quota.isYoung,
-    hear: quota.hear,
+    isYoung: quota.isWarmingUp,
+    hear: quota.applyRemote,
   };
 }
 
--- a/packages/replay/src/replayRouter.ts
+++ b/packages/replay/src/replayRouter.ts
@@ -4,14 +4,14 @@
   createAttemptBudget,
   createDecodePlacement,
   createEngineLoads,
-  createFleetPart,
+  createFleetShard,
   createLoadPoller,
   createRequestRouter,
   createRouterMetrics,
   createRouteTable,
   createServerDirectory,
   createServerLoads,
-  createServerWords,
+  createServerNotices,
   createStreamSizes,
   noLimits,
   type BackendApi,
@@ -67,7 +67,7 @@
     ? withHintsOnly(learnedSizes)
     : learnedSizes;
   const forecastLoads = createEngineLoads({
-    onOwnChange: options.onOwnChange,
+    onOwnUseChange: options.onOwnChange,
     isListed: (serverId) => directory.get(serverId) !== undefined,
     tokensPerMs: streamSizes.tokensPerMs,
     lengthShape: streamSizes.lengthShape,
@@ -77,7 +77,7 @@
     : forecastLoads;
   const health = createOutlierDetector();
   health.setPoolSize(directory.size());
-  const pools = createFleetPart({ directory });
+  const pools = createFleetShard({ directory });
   pools.setRouters(address, options.addresses);
   const table = createRouteTable(configuration);
   const router = createRequestRouter({
@@ -86,7 +86,7 @@
     pools,
     serverLoads: createServerLoads(),
     limits: noLimits,
-    words: createServerWords({ directory, limits: { note: () => undefined }, logger }),
+    notices: createServerNotices({ directory, limits: { note: () => undefined }, logger }),
     engineLoads: loads,
     streamSizes,
     placement: createDecodePlacement({ backend, pools, loads, health, random }),
@@ -98,8 +98,8 @@
     random,
     routeTable: () => table,
     freshness: () => ({ isProved: true, isBehind: false }),
-    onStale: () => undefined,
-    quota: { charge: () => ({ kind: 'charged', charge: { giveBack: () => undefined } }) },
+    onStaleConfiguration: () => undefined,
+    quota: { charge: () => ({ kind: 'charged', charge: { refund: () => undefined } }) },
   });
   const poller = createLoadPoller({
     backend,
@@ -110,7 +110,7 @@
     streamSizes,
     intervalMs: loadIntervalMs,
     ownAddress: address,
-    livePeers: pools.companions,
+    livePeers: pools.shardPeers,
     random,
   });
   if (!absent.has(mechanisms.loadReports)) {
@@ -121,7 +121,7 @@
     address,
     serve: router.serve,
     loads,
-    companions: pools.companions,
+    companions: pools.shardPeers,
     replaceServer(before, after) {
       directory.put(after);
       loads.forget(before.id);
--- a/packages/replay/src/replayRun.ts
+++ b/packages/replay/src/replayRun.ts
@@ -3,7 +3,7 @@
 import {
   routeKinds,
   stages,
-  usesAt,
+  selectEngineUse,
   type CallerExchange,
   type Configuration,
 } from '@bluebellhitch/routing';
@@ -104,7 +104,7 @@
   function deliver(address: string, serverIds: readonly string[]): void {
     const current = routers;
     const sender = current.find((router) => router.address === address);
-    const told = structuredClone(usesAt(sender?.loads.ownUse() ?? [], serverIds));
+    const told = structuredClone(selectEngineUse(sender?.loads.ownUse() ?? [], serverIds));
     setTimeout(() => {
       current
         .filter((router) => sender?.companions().includes(router.address))
--- a/packages/routing/__tests__/backendConnections.test.ts
+++ b/packages/routing/__tests__/backendConnections.test.ts
@@ -15,7 +15,7 @@
 
 async function readBody(t: ExecutionContext, address: string) {
   const outcome = await createConnections(t).call(createCall(address));
-  return outcome.kind === 'answered' ? readWholeBody(outcome.answer.body) : outcome;
+  return outcome.kind === 'answered' ? readWholeBody(outcome.response.body) : outcome;
 }
 
 test('a response without a length whose connection is closed is complete', async (t) => {
@@ -102,7 +102,7 @@
   const first = await connections.call(createCall(address));
   t.is(first.kind, 'answered');
   if (first.kind === 'answered') {
-    await readWholeBody(first.answer.body);
+    await readWholeBody(first.response.body);
   }
   await new Promise((resolve) => {
     setTimeout(resolve, 50);
@@ -110,7 +110,10 @@
   const second = await connections.call(createCall(address));
   t.is(second.kind, 'answered');
   if (second.kind === 'answered') {
-    t.deepEqual(await readWholeBody(second.answer.body), { kind: 'whole', body: Buffer.from('2') });
+    t.deepEqual(await readWholeBody(second.response.body), {
+      kind: 'whole',
+      body: Buffer.from('2'),
+    });
   }
 });
 
@@ -122,7 +125,7 @@
   for (let call = 0; call < 3; call += 1) {
     const outcome = await connections.call(createCall(server.address));
     if (outcome.kind === 'answered') {
-      await readWholeBody(outcome.answer.body);
+      await readWholeBody(outcome.response.body);
     }
   }
   t.is(server.connectionCount(), 1);
--- a/packages/routing/__tests__/callersServer.test.ts
+++ b/packages/routing/__tests__/callersServer.test.ts
@@ -32,7 +32,7 @@
     decodeHead,
     serve: async (exchange) => serve(exchange),
     logger: createLogger({ binary: 'test', instanceId: 't', write: () => undefined }),
-    maxHeldBytes: 1_000_000,
+    maxBufferedBytes: 1_000_000,
     maxConnections: 100,
   });
   t.teardown(() => {
@@ -75,7 +75,7 @@
   // keep-alive connection before the process is told to stop, so the connection must close when the stream ends.
   let finish: () => void = () => undefined;
   const server = await startServer(t, (exchange) => {
-    const writer = exchange.begin(200, []);
+    const writer = exchange.startResponse(200, []);
     writer.write(Buffer.from('part'));
     finish = writer.end;
   });
@@ -90,7 +90,7 @@
 
 test('a complete response during the drain announces that its connection closes', async (t) => {
   const server = await startServer(t, (exchange) =>
-    exchange.answer({ status: 200, headers: ['X-A', 'b'], body: Buffer.from('all') }),
+    exchange.respond({ status: 200, headers: ['X-A', 'b'], body: Buffer.from('all') }),
   );
   server.beginDrain();
   const { socket, closed, text } = openConnection(t, server.port);
@@ -113,9 +113,9 @@
 
 test('an aborted response does not look complete', async (t) => {
   const server = await startServer(t, (exchange) => {
-    const writer = exchange.begin(200, []);
+    const writer = exchange.startResponse(200, []);
     writer.write(Buffer.from('part'));
-    setTimeout(writer.cut, 10);
+    setTimeout(writer.abort, 10);
   });
   const { socket, closed, text } = openConnection(t, server.port);
   socket.write(request);
--- a/packages/routing/__tests__/configurationProof.test.ts
+++ b/packages/routing/__tests__/configurationProof.test.ts
@@ -37,7 +37,7 @@
   const make = (
     address: string,
     others: Buffer[],
-    witnesses: string[],
+    proofSources: string[],
     { revision, version }: { revision: number; version: number },
   ) => {
     const proof = createConfigurationProof({
@@ -48,9 +48,9 @@
         },
       }),
       isNeeded: () => true,
-      witnesses: () => witnesses,
+      proofSources: () => proofSources,
       seenRevision: () => revision,
-      onRevisionElsewhere: () => undefined,
+      onPeerRevision: () => undefined,
     });
     proof.noteConfiguration(version);
     return proof;
@@ -156,13 +156,13 @@
 
 test('an unusable configuration proves nothing until the next usable one', (t) => {
   withPair(sameRevisions, ({ follower, router, deliver }) => {
-    follower.noteUnusable(true);
+    follower.setUnusable(true);
     follower.noteProved(readClocks(), 1);
     router.ask();
     deliver();
     t.is(follower.ageMs(), Infinity);
     t.is(router.ageMs(), Infinity);
-    follower.noteUnusable(false);
+    follower.setUnusable(false);
     t.is(follower.ageMs(), 0);
   });
 });
@@ -229,7 +229,7 @@
   const clock = FakeTimers.install({ now: 1e12, toFake: ['setTimeout', 'Date', 'performance'] });
   try {
     const sent: { bytes: Buffer; to: readonly string[] }[] = [];
-    const make = (address: string, witnesses: string[], version: number) => {
+    const make = (address: string, proofSources: string[], version: number) => {
       const proof = createConfigurationProof({
         channel: () => ({
           address,
@@ -238,9 +238,9 @@
           },
         }),
         isNeeded: () => true,
-        witnesses: () => witnesses,
+        proofSources: () => proofSources,
         seenRevision: () => laterEra.router,
-        onRevisionElsewhere: () => undefined,
+        onPeerRevision: () => undefined,
       });
       proof.noteConfiguration(version);
       return proof;
@@ -278,7 +278,7 @@
 test('a proof from before the store was restored is not passed on', (t) => {
   withPair(laterEra, ({ follower, router, deliver }) => {
     follower.noteProved(readClocks(), 1);
-    follower.noteEraRisen();
+    follower.noteEraChanged();
     router.ask();
     deliver();
     t.is(router.ageMs(), Infinity);
--- a/packages/routing/__tests__/decodePlacement.test.ts
+++ b/packages/routing/__tests__/decodePlacement.test.ts
@@ -4,7 +4,7 @@
 import {
   createDecodePlacement,
   createEngineLoads,
-  createFleetPart,
+  createFleetShard,
   createServerDirectory,
   type BackendServer,
   type CallOutcome,
@@ -43,7 +43,7 @@
   const releasedIds: string[] = [];
   const answers = new Map<string, CallOutcome<Reservation>>();
   const placement = createDecodePlacement({
-    pools: { ...createFleetPart({ directory }), spare: () => spareIds.map(server) },
+    pools: { ...createFleetShard({ directory }), spare: () => spareIds.map(server) },
     loads,
     health: createOutlierDetector(),
     backend: {
--- a/packages/routing/__tests__/fleetPart.test.ts
+++ b/packages/routing/__tests__/fleetShard.test.ts
@@ -1,10 +1,10 @@
 import fc from 'fast-check';
 import test from 'ava';
 import {
-  createFleetPart,
+  createFleetShard,
   createServerDirectory,
   type BackendServer,
-  type FleetPart,
+  type FleetShard,
   type ServerDirectory,
 } from '@bluebellhitch/routing';
 
@@ -28,9 +28,9 @@
   return directory;
 }
 
-function createFleet(addresses: readonly string[], directory: ServerDirectory): FleetPart[] {
+function createFleet(addresses: readonly string[], directory: ServerDirectory): FleetShard[] {
   return addresses.map((address) => {
-    const shard = createFleetPart({ directory });
+    const shard = createFleetShard({ directory });
     shard.setRouters(address, addresses);
     return shard;
   });
@@ -43,7 +43,7 @@
   createFleet(addresses, createDirectory(27)).forEach((shard, index) => {
     t.is(shard.usable('s', 'decode').length, 27);
     t.deepEqual(shard.spare('s', 'decode'), []);
-    t.deepEqual([...shard.companions(), addresses[index]].sort(), [...addresses].sort());
+    t.deepEqual([...shard.shardPeers(), addresses[index]].sort(), [...addresses].sort());
   });
 });
 
@@ -55,15 +55,15 @@
       (routerCount, serverCount) => {
         const addresses = addressesOf(routerCount);
         const fleet = createFleet(addresses, createDirectory(serverCount));
-        t.true(fleet.every((shard) => shard.companions().length < 40));
+        t.true(fleet.every((shard) => shard.shardPeers().length < 40));
         const used = new Set(fleet.flatMap((shard) => idsOf(shard.usable('s', 'decode'))));
         t.is(used.size, serverCount);
         const sizes = fleet.map((shard) => shard.usable('s', 'decode').length);
         t.true(Math.max(...sizes) - Math.min(...sizes) <= 1);
         fleet.forEach((shard, index) =>
-          shard.companions().forEach((companion) => {
+          shard.shardPeers().forEach((companion) => {
             const other = fleet[addresses.indexOf(companion)];
-            t.true(other?.companions().includes(addresses[index] ?? ''));
+            t.true(other?.shardPeers().includes(addresses[index] ?? ''));
             t.deepEqual(other?.usable('s', 'decode'), shard.usable('s', 'decode'));
           }),
         );
@@ -103,10 +103,10 @@
 
 test('a fleet that shrinks and grows by a few routers keeps its shards', (t) => {
   const directory = createDirectory(60);
-  const shard = createFleetPart({ directory });
+  const shard = createFleetShard({ directory });
   const counts = [40, 41, 38, 41, 25, 23].map((routerCount) => {
     shard.setRouters('10.0.0.1:7000', addressesOf(routerCount));
-    return shard.partCount();
+    return shard.shardCount();
   });
   t.deepEqual(counts, [1, 2, 2, 2, 2, 1]);
 });
--- a/packages/routing/__tests__/fleetShares.test.ts
+++ b/packages/routing/__tests__/fleetShares.test.ts
@@ -3,8 +3,8 @@
 
 function sharesOf({ companions = 0, partCount = 1, routerCount = 1 }) {
   const addresses = Array.from({ length: companions }, (_none, at) => `10.0.0.${at + 1}:7400`);
-  const fleetPart = { companions: () => addresses, partCount: () => partCount };
-  return createFleetShares({ fleetPart, routerCount: () => routerCount });
+  const fleetShard = { shardPeers: () => addresses, shardCount: () => partCount };
+  return createFleetShares({ fleetShard, routerCount: () => routerCount });
 }
 
 test('a router that knows no other is capped at a fixed share', (t) => {
--- a/packages/routing/__tests__/objectFollower.test.ts
+++ b/packages/routing/__tests__/objectFollower.test.ts
@@ -62,8 +62,8 @@
       watchWaitMs: () => 1_800,
       onListed: () => script.log.push('listed'),
       onEvent: ({ kind }) => script.log.push(kind),
-      onLost: () => script.log.push('lost'),
-      onBack: () => script.log.push('back'),
+      onUnavailable: () => script.log.push('lost'),
+      onAvailable: () => script.log.push('back'),
       random: () => 0,
     });
     follower.start();
@@ -100,7 +100,7 @@
     // Otherwise callers get 404 for a new route: the connection of a long watch is dead, while another router has seen
     // the new configuration and reports its revision.
     const script = scriptedStore(() => reply());
-    await follow(script, 500, (follower) => follower.noteRevisionElsewhere(9));
+    await follow(script, 500, (follower) => follower.notePeerRevision(9));
     t.deepEqual(script.watchWaitsMs.slice(0, 2), [1_800, 1]);
     t.false(script.log.includes('lost'));
   },
@@ -108,7 +108,7 @@
 
 test.serial('a peer revision that is already known changes nothing', async (t) => {
   const script = scriptedStore(() => reply());
-  await follow(script, 500, (follower) => follower.noteRevisionElsewhere(0));
+  await follow(script, 500, (follower) => follower.notePeerRevision(0));
   t.deepEqual(script.watchWaitsMs, [1_800]);
 });
 
@@ -135,7 +135,7 @@
   await follow(script, 4_000, (follower) => {
     isSlow = true;
     const reportRevision = () => {
-      follower.noteRevisionElsewhere(9);
+      follower.notePeerRevision(9);
       if (script.log.includes('put')) {
         return;
       }
--- a/packages/routing/__tests__/peerExchange.test.ts
+++ b/packages/routing/__tests__/peerExchange.test.ts
@@ -1,5 +1,5 @@
 import test, { type ExecutionContext } from 'ava';
-import type { ToldChanges } from '@bluebellhitch/protocol';
+import type { RelayedChanges } from '@bluebellhitch/protocol';
 import { createEngineLoads, startPeerExchange } from '@bluebellhitch/routing';
 import { createLogger } from '@bluebellhitch/telemetry';
 
@@ -7,22 +7,22 @@
 const logger = createLogger({ binary: 'test', instanceId: 't', write: () => undefined });
 
 async function startRouter(t: ExecutionContext, seedAddresses: string[] = []) {
-  const received: ToldChanges[] = [];
+  const received: RelayedChanges[] = [];
   let noteUseChanged: (serverId: string) => void = () => undefined;
-  const loads = createEngineLoads({ onOwnChange: (serverId) => noteUseChanged(serverId) });
+  const loads = createEngineLoads({ onOwnUseChange: (serverId) => noteUseChanged(serverId) });
   const exchange = await startPeerExchange({
     host: '127.0.0.1',
     port: 0,
     seedAddresses,
     ownUse: loads.ownUse,
     onPeerUse: loads.setPeerUse,
-    onPeerGone: loads.dropPeer,
+    onPeerTimeout: loads.dropPeer,
     seenRevisions: () => [],
     onPeerRevisions: () => undefined,
-    onToldChanges: (changes) => received.push(changes),
+    onRelayedChanges: (changes) => received.push(changes),
     logger,
   });
-  noteUseChanged = exchange.noteChange;
+  noteUseChanged = exchange.noteUseChanged;
   t.teardown(exchange.close);
   return { loads, exchange, received };
 }
@@ -87,7 +87,7 @@
   t.pass();
 });
 
-const changesOf = (valueLength: number): ToldChanges => ({
+const changesOf = (valueLength: number): RelayedChanges => ({
   kindIndex: 1,
   fromRevision: 5,
   toRevision: 9,
@@ -100,7 +100,7 @@
   const first = await startRouter(t);
   const second = await startRouter(t, [first.exchange.address]);
   await until(() => first.exchange.livePeers().length === 1);
-  first.exchange.tellChanges(changesOf(10));
+  first.exchange.relayChanges(changesOf(10));
   await until(() => second.received.length === 1);
   t.deepEqual(second.received, [changesOf(10)]);
 });
@@ -111,7 +111,7 @@
   const first = await startRouter(t);
   const second = await startRouter(t, [first.exchange.address]);
   await until(() => first.exchange.livePeers().length === 1);
-  first.exchange.tellChanges(changesOf(200_000));
+  first.exchange.relayChanges(changesOf(200_000));
   await until(() => second.received.length === 1);
   t.like(second.received[0], { fromRevision: 9, toRevision: 9, changes: [] });
 });
--- a/packages/routing/__tests__/quotaExchange.test.ts
+++ b/packages/routing/__tests__/quotaExchange.test.ts
@@ -47,7 +47,7 @@
     });
   const routers: [QuotaExchange, QuotaExchange] = [make(0), make(1)];
   const exchangeContacts = () =>
-    routers.forEach((router, own) => router.noteHeard(addresses[1 - own] as string));
+    routers.forEach((router, own) => router.noteContact(addresses[1 - own] as string));
   try {
     routers.forEach((router, own) => router.setRouters([addresses[1 - own] as string], 2));
     [0, 1, 2].forEach(() => {
@@ -84,7 +84,7 @@
     t.is(first.charge(bonds, plain).kind, 'limited');
     const [one] = outcomes;
     if (one?.kind === 'charged') {
-      one.charge.giveBack();
+      one.charge.refund();
     }
     t.is(first.charge(bonds, plain).kind, 'charged');
   });
--- a/packages/routing/__tests__/relayedChanges.test.ts
+++ b/packages/routing/__tests__/relayedChanges.test.ts
@@ -92,13 +92,13 @@
       store: store.api,
       kind,
       watchWaitMs: () => 1_800,
-      isToldByOthers: () => true,
-      newsLifetimeMs: () => relayTimeoutMs,
+      hasRelays: () => true,
+      relayTimeoutMs: () => relayTimeoutMs,
       onListed: () => undefined,
       onEvent: (event) =>
         events.push(event.kind === 'put' ? `put ${event.object.key}` : `removed ${event.key}`),
-      onLost: () => undefined,
-      onBack: (agoMs) => recoveries.push(agoMs),
+      onUnavailable: () => undefined,
+      onAvailable: (agoMs) => recoveries.push(agoMs),
       random: () => 0,
     });
     follower.start();
@@ -115,7 +115,7 @@
 test.serial('relayed changes are applied without a call to the store', async (t) => {
   await followWithRelays(async ({ store, clock, follower, events }) => {
     for (let revision = 10; revision < 40; revision += 1) {
-      follower.noteTold(relayedChanges(revision, revision + 1));
+      follower.applyRelayed(relayedChanges(revision, revision + 1));
       await clock.tickAsync(1_000);
     }
     t.is(events.length, 30);
@@ -125,9 +125,9 @@
 
 test.serial('a change relayed by several peers is applied once', async (t) => {
   await followWithRelays(async ({ follower, events }) => {
-    follower.noteTold(relayedChanges(10, 12));
-    follower.noteTold(relayedChanges(10, 12));
-    follower.noteTold(relayedChanges(9, 12));
+    follower.applyRelayed(relayedChanges(10, 12));
+    follower.applyRelayed(relayedChanges(10, 12));
+    follower.applyRelayed(relayedChanges(9, 12));
     t.deepEqual(events, ['put w1']);
     return Promise.resolve();
   });
@@ -139,7 +139,7 @@
   await followWithRelays(async ({ store, clock, follower, events }) => {
     store.change(put('w1', 12), 12);
     store.change(put('w2', 15), 15);
-    follower.noteTold(relayedChanges(13, 15));
+    follower.applyRelayed(relayedChanges(13, 15));
     await clock.tickAsync(400);
     t.deepEqual(store.calls, ['list', 'watch 10']);
     t.deepEqual(events, ['put w1', 'put w2']);
@@ -166,8 +166,8 @@
   await followWithRelays(async ({ store, clock, follower }) => {
     store.change(put('w1', 12), 12);
     for (let round = 0; round < 6; round += 1) {
-      follower.noteTold(relayedChanges(8, 9));
-      follower.noteTold(relayedChanges(10, 10, { changes: [], ageMs: 5_000 }));
+      follower.applyRelayed(relayedChanges(8, 9));
+      follower.applyRelayed(relayedChanges(10, 10, { changes: [], ageMs: 5_000 }));
       await clock.tickAsync(1_000);
     }
     t.true(store.calls.includes('watch 10'));
@@ -181,8 +181,8 @@
     // unavailable, and this router, which made no call, does not know of the outage and removes them at once.
     await followWithRelays(async ({ clock, follower, recoveries }) => {
       await clock.tickAsync(500);
-      follower.noteTold(relayedChanges(10, 12, { backAgeMs: 300 }));
-      follower.noteTold(relayedChanges(12, 13, { backAgeMs: 300 }));
+      follower.applyRelayed(relayedChanges(10, 12, { backAgeMs: 300 }));
+      follower.applyRelayed(relayedChanges(12, 13, { backAgeMs: 300 }));
       t.deepEqual(recoveries, [0, 300]);
     });
   },
@@ -191,13 +191,13 @@
 test.serial('a removal that is relayed with older changes is applied in order', async (t) => {
   // Otherwise a server that was removed and registered again is missing, or one that has left remains.
   await followWithRelays(async ({ follower, events }) => {
-    follower.noteTold(relayedChanges(10, 12));
+    follower.applyRelayed(relayedChanges(10, 12));
     const changes: SeenChanges['changes'] = [
       { kind: 'removed', key: 'w1', revision: 9 },
       { kind: 'put', key: 'w1', revision: 12, value: {} },
       { kind: 'removed', key: 'w2', revision: 7 },
     ];
-    follower.noteTold({ fromRevision: 10, toRevision: 14, changes, ageMs: 0 });
+    follower.applyRelayed({ fromRevision: 10, toRevision: 14, changes, ageMs: 0 });
     t.deepEqual(events, ['put w1', 'removed w1', 'put w1', 'removed w2']);
     return Promise.resolve();
   });
@@ -207,7 +207,7 @@
   // Otherwise a relay that omits changes is never detected.
   await followWithRelays(async ({ store, clock, follower }) => {
     for (let second = 0; second < 70; second += 1) {
-      follower.noteTold(relayedChanges(10, 10, { changes: [] }));
+      follower.applyRelayed(relayedChanges(10, 10, { changes: [] }));
       await clock.tickAsync(1_000);
     }
     t.deepEqual(store.calls, ['list', 'watch 10']);
@@ -238,8 +238,8 @@
         watchWaitMs: () => 500,
         onListed: () => undefined,
         onEvent: () => undefined,
-        onLost: () => undefined,
-        onBack: () => undefined,
+        onUnavailable: () => undefined,
+        onAvailable: () => undefined,
         onSeen: (one) => seen.push(one),
       });
       follower.start();
--- a/packages/routing/__tests__/restoredObjects.test.ts
+++ b/packages/routing/__tests__/restoredObjects.test.ts
@@ -234,8 +234,8 @@
       store: clientOf(store, () => isCut(index), random),
       kind,
       watchWaitMs: () => 1_200,
-      isToldByOthers: () => !isRelay,
-      newsLifetimeMs: () => 2_000,
+      hasRelays: () => !isRelay,
+      relayTimeoutMs: () => 2_000,
       onListed(objects) {
         view.clear();
         objects.forEach((object) => view.set(object.key, object.value));
@@ -246,17 +246,17 @@
           : view.delete(event.key),
       onSeen(told) {
         if (isRelay) {
-          send(index, (to) => to.noteTold(told));
+          send(index, (to) => to.applyRelayed(told));
         }
       },
-      onLost: () => undefined,
-      onBack: () => undefined,
+      onUnavailable: () => undefined,
+      onAvailable: () => undefined,
       random,
     });
     routers.push({ follower, view, cutUntilMs: -Infinity });
     const heartbeat = setInterval(() => {
       const seen = follower.seenRevision();
-      send(index, (to) => to.noteRevisionElsewhere(seen));
+      send(index, (to) => to.notePeerRevision(seen));
     }, 1_000);
     heartbeat.unref();
   });
--- a/packages/routing/__tests__/serverDirectory.test.ts
+++ b/packages/routing/__tests__/serverDirectory.test.ts
@@ -34,7 +34,7 @@
     directory.replaceAll([server('a'), server('b')]);
     directory.storeLost();
     clock.tick(30_000);
-    directory.storeBack();
+    directory.storeRecovered();
     directory.replaceAll([]);
     t.deepEqual(idsOf(directory.usable('s')), ['a', 'b']);
     clock.tick(1_000);
@@ -74,7 +74,7 @@
   directory.withdraw('a');
   directory.put(entry({ entryNumber: 4 }));
   t.false(isUsable());
-  directory.noteOlderCopy();
+  directory.noteRestored();
   directory.put(entry({ entryNumber: 5 }));
   t.false(isUsable());
   directory.remove('a');
@@ -82,7 +82,7 @@
   directory.put(entry({ entryNumber: 6 }));
   t.is(directory.size(), 1);
   t.false(isUsable());
-  directory.noteBorn(entry(), 2, 'decode');
+  directory.noteStarted(entry(), 2, 'decode');
   t.deepEqual(idsOf(directory.usable('s')), [serverIdOf('a', 2)]);
 });
 
@@ -153,9 +153,9 @@
   const directory = createServerDirectory();
   const before = server('a~a', { name: 'a', bornAtMs: 10, stage: 'prefill' });
   directory.put(before);
-  directory.noteBorn(before, 20, 'decode');
+  directory.noteStarted(before, 20, 'decode');
   t.like(directory.usable('s')[0], { id: 'a~k', stage: 'decode' });
-  directory.noteBorn(before, 30, 'decode');
+  directory.noteStarted(before, 30, 'decode');
   t.like(directory.usable('s')[0], { id: 'a~k' });
   directory.put(before);
   t.like(directory.usable('s')[0], { id: 'a~k' });
@@ -173,7 +173,7 @@
     directory.put(entry('leaves', 9, { isDraining: true }));
     directory.remove('gone');
     directory.put(entry('changed', 9, { slots: 8 }));
-    directory.noteOlderCopy();
+    directory.noteRestored();
     directory.replaceAll([entry('leaves', 5), entry('gone', 5), entry('changed', 6)]);
     t.deepEqual(idsOf(directory.usable('s')), ['changed']);
     t.is(directory.get('changed')?.slots, 8);
@@ -196,7 +196,7 @@
     const directory = createServerDirectory();
     directory.replaceAll([server('a', { entryNumber: 5 })]);
     directory.withdraw('a');
-    directory.noteOlderCopy();
+    directory.noteRestored();
     directory.replaceAll([server('a', { entryNumber: 5 })]);
     t.deepEqual(idsOf(directory.usable('s')), ['a']);
   } finally {
--- a/packages/routing/__tests__/stageKeeper.test.ts
+++ b/packages/routing/__tests__/stageBalancer.test.ts
@@ -4,7 +4,7 @@
 import type { DutyLease, DutyLeaseError, HeldFencing } from '@bluebellhitch/objects';
 import {
   createServerDirectory,
-  createStageKeeper,
+  createStageBalancer,
   type BackendServer,
   type Stage,
   type StageOrder,
@@ -66,7 +66,7 @@
     const directory = createServerDirectory();
     initial.forEach((stage, index) => directory.put(engine(`e${index}`, stage)));
     const load = { stage: 'decode', isBusyWithOrder: false, orderCount: 7 };
-    const balancer = createStageKeeper({
+    const balancer = createStageBalancer({
       directory,
       backend: {
         readLoad: async () => ({ kind: 'done', value: load as never }),
--- a/packages/routing/__tests__/quietWatch.test.ts
+++ b/packages/routing/__tests__/stallWatch.test.ts
@@ -1,21 +1,21 @@
 import FakeTimers from '@sinonjs/fake-timers';
 import test from 'ava';
-import { startQuietWatch, type QuietWatchOptions } from '../src/quietWatch';
+import { startStallWatch, type StallWatchOptions } from '../src/stallWatch';
 
 function watchWithFakeTimers(
   isServerSilent: boolean,
   act: (clock: FakeTimers.Clock, note: () => void) => void,
-  over: Partial<QuietWatchOptions> = {},
+  over: Partial<StallWatchOptions> = {},
 ) {
   const clock = FakeTimers.install({ toFake: ['setInterval', 'clearInterval', 'performance'] });
   let lostAtMs: number | undefined;
   try {
-    const watch = startQuietWatch({
-      quietMs: 2_000,
-      silentServerQuietMs: 400,
-      isServerSilent: () => isServerSilent,
+    const watch = startStallWatch({
+      stallTimeoutMs: 2_000,
+      unresponsiveStallTimeoutMs: 400,
+      isServerUnresponsive: () => isServerSilent,
       isServerRestarted: () => false,
-      onGone() {
+      onLost() {
         lostAtMs ??= clock.now;
       },
       ...over,
@@ -74,7 +74,7 @@
       isRestarted = true;
       clock.tick(1_000);
     },
-    { quietMs: undefined, isServerRestarted: () => isRestarted },
+    { stallTimeoutMs: undefined, isServerRestarted: () => isRestarted },
   );
   t.true((lostAtMs ?? 0) >= 1_000 && (lostAtMs ?? 0) <= 1_100);
 });
@@ -82,6 +82,6 @@
 test.serial('a run that cannot continue elsewhere is left to a server that is responsive', (t) => {
   // Otherwise the caller loses a stream that is only paused: its engine is short of memory and will resume it.
   const wait = (clock: FakeTimers.Clock) => clock.tick(10_000);
-  t.is(watchWithFakeTimers(false, wait, { quietMs: undefined }), undefined);
-  t.true((watchWithFakeTimers(true, wait, { quietMs: undefined }) ?? Infinity) <= 600);
+  t.is(watchWithFakeTimers(false, wait, { stallTimeoutMs: undefined }), undefined);
+  t.true((watchWithFakeTimers(true, wait, { stallTimeoutMs: undefined }) ?? Infinity) <= 600);
 });
--- a/packages/routing/__tests__/watchPlan.test.ts
+++ b/packages/routing/__tests__/watchPlan.test.ts
@@ -14,21 +14,21 @@
 
 test('a few routers watch and relay, the others receive relayed changes', (t) => {
   const plans = routers.map((own) => createPlan(own));
-  t.is(plans.filter((plan) => plan.isTelling()).length, 3);
-  t.is(plans.filter((plan) => plan.isToldByOthers()).length, 21);
+  t.is(plans.filter((plan) => plan.isRelaying()).length, 3);
+  t.is(plans.filter((plan) => plan.hasRelays()).length, 21);
 });
 
 test('a router without live peers watches for itself and relays nothing', (t) => {
   const alone = createPlan(routers[0] as string, []);
-  t.false(alone.isToldByOthers());
-  t.false(alone.isTelling());
-  t.deepEqual(alone.witnesses(Infinity), []);
+  t.false(alone.hasRelays());
+  t.false(alone.isRelaying());
+  t.deepEqual(alone.proofSources(Infinity), []);
 });
 
 test('relays are asked for a proof, and other routers too once that proof is late', (t) => {
-  const receiver = routers.map((own) => createPlan(own)).find((plan) => plan.isToldByOthers());
-  t.deepEqual(receiver?.witnesses(1_000), receiver?.followers());
-  t.true((receiver?.witnesses(Infinity).length ?? 0) > 3);
+  const receiver = routers.map((own) => createPlan(own)).find((plan) => plan.hasRelays());
+  t.deepEqual(receiver?.proofSources(1_000), receiver?.relays());
+  t.true((receiver?.proofSources(Infinity).length ?? 0) > 3);
 });
 
 test('a proof is renewed early enough for one call to be lost, and expires before the bound', (t) => {
@@ -37,5 +37,5 @@
   t.true(plan.isFresh(plan.proofLeftMs(0) + 700 + 500));
   t.false(plan.isFresh(4_900));
   t.false(plan.isFresh(Infinity));
-  t.true(plan.provingWaitMs() * 2 + 700 < plan.proofLeftMs(0));
+  t.true(plan.proofWatchWaitMs() * 2 + 700 < plan.proofLeftMs(0));
 });
--- a/packages/routing/__tests__/workspaceAccess.test.ts
+++ b/packages/routing/__tests__/workspaceAccess.test.ts
@@ -65,7 +65,7 @@
 });
 
 test('a route that needs no key is open even without a proof', (t) => {
-  const open = { ...route, needsNoKey: true };
+  const open = { ...route, allowsAnonymous: true };
   const freshness = { isProved: false, isBehind: false };
   t.deepEqual(decide({ kind: 'none' }, { route: open, freshness }), {
     kind: 'granted',
--- a/packages/routing/scripts/accessCost.ts
+++ b/packages/routing/scripts/accessCost.ts
@@ -72,7 +72,7 @@
   const before = process.cpuUsage();
   for (let index = 0; index < requestsPerSample; index += 1) {
     if (index % requestsPerSample === 0) {
-      shardPeers.forEach((router) => sharedQuota.noteHeard(router, index / 100));
+      shardPeers.forEach((router) => sharedQuota.noteContact(router, index / 100));
     }
     serveRequest(index);
   }
--- a/packages/routing/src/backendApi.ts
+++ b/packages/routing/src/backendApi.ts
@@ -17,7 +17,7 @@
   | { kind: 'withheld' };
 
 /** A call without a usable response: it may have had its effect. */
-export interface LostAnswer {
+export interface LostResponse {
   kind: 'lost';
   detail: string;
   /** Ended on the router's side, by an abort or a time-out, rather than by the server. */
@@ -25,10 +25,10 @@
 }
 
 export type CallOutcome<Value> =
-  { kind: 'done'; value: Value } | { kind: 'not-run'; cause: NotRunCause } | LostAnswer;
+  { kind: 'done'; value: Value } | { kind: 'not-run'; cause: NotRunCause } | LostResponse;
 
 /** A statement of a backend server about itself in the headers of a response. */
-export type ServerWord =
+export type ServerNotice =
   /** The server accepts this many requests per second from all routers together. */
   | { kind: 'limit'; requestsPerSecond: number }
   /** The server has accepted a request without stating a limit. */
@@ -75,7 +75,7 @@
   runs: ReportedRun[];
 }
 
-export interface AnswerBody {
+export interface ResponseBody {
   /** Starts the flow of data; it ends with exactly one call of `onEnd` or `onLost`. */
   read(reader: BodyReader): void;
   pause(): void;
@@ -90,13 +90,13 @@
 }
 
 /** The head of a backend server's response; the body flows once `body.read` is called. */
-export interface BackendAnswer {
+export interface BackendResponse {
   status: number;
   /** Alternating names and values, without hop-by-hop headers. */
   headers: readonly string[];
   /** Carries the seal which proves that the server sent it for this request. */
   isSealed: boolean;
-  body: AnswerBody;
+  body: ResponseBody;
 }
 
 export interface RunOptions {
@@ -145,7 +145,7 @@
     server: BackendServer,
     request: CallerRequest,
     options: RunOptions,
-  ): Promise<CallOutcome<BackendAnswer>>;
+  ): Promise<CallOutcome<BackendResponse>>;
   readLoad(server: BackendServer, timeoutMs: number): Promise<CallOutcome<EngineLoad>>;
   /** Resolves with 'holds' if the engine already has that stage. */
   orderStage(
@@ -154,6 +154,6 @@
     timeoutMs: number,
   ): Promise<CallOutcome<'accepted' | 'holds' | 'refused'>>;
   /** Closes the idle connections to an address that no server uses any more. */
-  forget(address: string): void;
+  closeIdleConnections(address: string): void;
   close(): Promise<void>;
 }
--- a/packages/routing/src/backendConnections.ts
+++ b/packages/routing/src/backendConnections.ts
@@ -11,7 +11,7 @@
 export interface BackendConnections {
   call(call: HttpCall): Promise<HttpOutcome>;
   /** Closes the idle connections to an address. */
-  forget(address: string): void;
+  closeIdleConnections(address: string): void;
   close(): Promise<void>;
 }
 
@@ -144,7 +144,7 @@
 
   return {
     call,
-    forget(address) {
+    closeIdleConnections(address) {
       const pool = pools.get(address);
       pool?.idle.slice().forEach((connection) => close(connection, pool));
       if (pool?.openCount === 0) {
--- a/packages/routing/src/backendExchange.ts
+++ b/packages/routing/src/backendExchange.ts
@@ -1,7 +1,7 @@
 /** One call on one connection to a backend server, from its sending to the end of the response. */
 import type { Client, Dispatcher } from 'undici';
-import { startRunningTimer } from '@bluebellhitch/shared';
-import type { AnswerBody, BodyReader } from './backendApi';
+import { startPauseTolerantTimer } from '@bluebellhitch/shared';
+import type { ResponseBody, BodyReader } from './backendApi';
 import type { HttpCall, HttpOutcome } from './httpCall';
 
 /** The part of a connection that a call uses. */
@@ -38,7 +38,7 @@
   let bodyEnd: BodyEnd | undefined;
   let controller: Dispatcher.DispatchController | undefined;
   let isFramed = true;
-  const headTimer = startRunningTimer(call.headTimeoutMs, () => cancel('no answer in time'));
+  const headTimer = startPauseTolerantTimer(call.headTimeoutMs, () => cancel('no answer in time'));
   const onAbort = () => cancel('given up');
 
   function cancel(reason: string): void {
@@ -90,7 +90,7 @@
     );
   }
 
-  const body: AnswerBody = {
+  const body: ResponseBody = {
     read(nextReader) {
       reader = nextReader;
       deliverEnd();
@@ -118,7 +118,7 @@
       const headers = readHeaders(startedController.rawHeaders);
       isFramed = hasFraming(headers, status);
       connection.isCloseDelimited = !isFramed;
-      resolve({ kind: 'answered', answer: { status, headers, body, discard: cancel } });
+      resolve({ kind: 'answered', response: { status, headers, body, discard: cancel } });
     },
     onResponseData: (_controller, chunk) => reader?.onData(chunk),
     onResponseEnd() {
--- a/packages/routing/src/callerApi.ts
+++ b/packages/routing/src/callerApi.ts
@@ -1,7 +1,7 @@
 /** The response to one caller's request. Exactly one of the calls marked as final is made for each request. */
 import type { CallerRequest, Refusal } from './model';
 
-export interface WholeAnswer {
+export interface CompleteResponse {
   status: number;
   headers: readonly string[];
   body: Buffer;
@@ -12,19 +12,19 @@
   /** Aborts if the caller disconnects before the response is complete. */
   readonly signal: AbortSignal;
   /** Final: passes on a backend server's response unchanged. */
-  answer(response: WholeAnswer): void;
+  respond(response: CompleteResponse): void;
   /** Final: sends a refusal of the router itself. */
   refuse(refusal: Refusal): void;
   /** Starts a response whose body is written in parts. */
-  begin(status: number, headers: readonly string[]): AnswerWriter;
+  startResponse(status: number, headers: readonly string[]): ResponseWriter;
 }
 
-export interface AnswerWriter {
+export interface ResponseWriter {
   /** Returns false if the caller reads more slowly than the router writes; see `onDrained`. */
   write(chunk: Buffer): boolean;
   onDrained(listener: () => void): void;
   /** Final: the response is complete. */
   end(): void;
   /** Final: destroys the connection, so that the response cannot be taken for complete. */
-  cut(): void;
+  abort(): void;
 }
--- a/packages/routing/src/callersServer.ts
+++ b/packages/routing/src/callersServer.ts
@@ -32,7 +32,7 @@
   serve(exchange: CallerExchange): Promise<void>;
   logger: Logger;
   /** Maximum size in memory of all request bodies together. */
-  maxHeldBytes: number;
+  maxBufferedBytes: number;
   maxConnections: number;
 }
 
@@ -46,7 +46,7 @@
   stopAccepting(): void;
   activeCount(): number;
   /** Resolves once no request is in progress. */
-  idle(): Promise<void>;
+  whenIdle(): Promise<void>;
   /** Closes all open connections. */
   close(): void;
 }
@@ -67,7 +67,7 @@
 /** Starts the server; rejects if the port is in use. */
 export async function startCallersServer(options: CallersServerOptions): Promise<CallersServer> {
   const { logger } = options;
-  const bodyReaders = createBodyReaderPool(options.maxHeldBytes);
+  const bodyReaders = createBodyReaderPool(options.maxBufferedBytes);
   const idleListeners: (() => void)[] = [];
   let limits = initialLimits;
   let activeCount = 0;
@@ -149,7 +149,7 @@
       server.closeIdleConnections();
     },
     activeCount: () => activeCount,
-    idle: () =>
+    whenIdle: () =>
       activeCount === 0
         ? Promise.resolve()
         : new Promise((resolve) => {
--- a/packages/routing/src/configurationProof.ts
+++ b/packages/routing/src/configurationProof.ts
@@ -17,7 +17,7 @@
   type ProofAnswer,
   type ProofMessage,
   type StorePosition,
-  type ToldConfiguration,
+  type AnnouncedConfiguration,
 } from '@bluebellhitch/protocol';
 import {
   ageMsOf,
@@ -41,11 +41,11 @@
   /** Whether any request depends on the proof. */
   isNeeded: () => boolean;
   /** Routers to ask for their proof; empty if this one watches the platform itself. */
-  witnesses: () => readonly string[];
+  proofSources: () => readonly string[];
   /** The newest revision of the configuration that this process has seen. */
   seenRevision: () => StorePosition;
   /** Called when a peer has seen this revision. */
-  onRevisionElsewhere(revision: StorePosition): void;
+  onPeerRevision(revision: StorePosition): void;
   random?: Random;
 }
 
@@ -55,9 +55,9 @@
   /** Records that a call to the platform that started then returned this version of the configuration as the newest. */
   noteProved(startedAt: ClockReading, shownVersion: number): void;
   /** The platform was restored from a backup: earlier proofs are no longer passed on to other routers. */
-  noteEraRisen(): void;
+  noteEraChanged(): void;
   /** Sets whether the newest configuration is unusable, so that nothing proves the one in force to be current. */
-  noteUnusable(isUnusable: boolean): void;
+  setUnusable(isUnusable: boolean): void;
   /** Age of the newest proof; infinite without one. */
   ageMs(): number;
   receive(message: ProofMessage): void;
@@ -99,7 +99,7 @@
 
   function ask(): void {
     const channel = options.channel();
-    const proofSources = options.witnesses();
+    const proofSources = options.proofSources();
     const now = readClocks();
     firstAskedAt ??= now;
     const isTooSoon = lastAskedAt !== undefined && ageMsOf(lastAskedAt, now) < minQuestionGapMs;
@@ -142,7 +142,7 @@
     hasAnswer = true;
     notePeerVersion(peerConfiguration, askedAt);
     if (revision > options.seenRevision()) {
-      options.onRevisionElsewhere(revision);
+      options.onPeerRevision(revision);
       return;
     }
     const isSameEra = eraOf(revision) === eraOf(options.seenRevision());
@@ -155,7 +155,10 @@
    * A call that started after a peer had a newer version, and did not return that version, was answered from a restored
    * backup: its proof is discarded. A call that started before remains a proof, as the newer version may be in transit.
    */
-  function notePeerVersion({ version, ageMs }: ToldConfiguration, askedAt: ClockReading): void {
+  function notePeerVersion(
+    { version, ageMs }: AnnouncedConfiguration,
+    askedAt: ClockReading,
+  ): void {
     newestPeerVersion = Math.max(newestPeerVersion, version);
     const peerHeldForMs = ageMsOf(askedAt) + ageMs;
     if (version > ownVersion() && provedAt !== undefined && ageMsOf(provedAt) <= peerHeldForMs) {
@@ -217,10 +220,10 @@
       provedAt = newestOf(provedAt, startedAt);
       ownProvedAt = newestOf(ownProvedAt, startedAt);
     },
-    noteUnusable(next) {
+    setUnusable(next) {
       isUnusable = next;
     },
-    noteEraRisen() {
+    noteEraChanged() {
       ownProvedAt = undefined;
     },
     ageMs: () => (provedAt === undefined || !canProve() ? Infinity : ageMsOf(provedAt)),
--- a/packages/routing/src/datagramDispatcher.ts
+++ b/packages/routing/src/datagramDispatcher.ts
@@ -15,7 +15,7 @@
 }
 
 /** Datagrams that no handler can decode are ignored, because anyone may send to the port. */
-export function createDatagramReceiver(handlers: DatagramHandlers): (bytes: Buffer) => void {
+export function createDatagramDispatcher(handlers: DatagramHandlers): (bytes: Buffer) => void {
   const { proof, quota, limits } = handlers;
   const messageHandlers = [
     createMessageHandler(decodeProofMessage, proof.receive),
--- a/packages/routing/src/decodePlacement.ts
+++ b/packages/routing/src/decodePlacement.ts
@@ -9,20 +9,20 @@
   type OutlierDetector,
   type PlacementAdmission,
 } from '@bluebellhitch/decisions';
-import type { StreamOutlook } from '@bluebellhitch/protocol';
+import type { StreamEstimate } from '@bluebellhitch/protocol';
 import { monotonicNowMs, type Random } from '@bluebellhitch/shared';
 import type { BackendApi, CallOutcome, Reservation } from './backendApi';
 import type { EngineLoads, PlacedStream } from './engineLoads';
-import type { ServerPools } from './fleetPart';
+import type { ServerPools } from './fleetShard';
 import { stages, type BackendServer, type EngineSettings } from './model';
 import { hasHeadroom, chooseBestFit, type PlacementCandidate } from './placementChoice';
 import { noLimits, type ServerPermits } from './serverLimits';
-import { noWords, type ServerWords } from './serverWords';
+import { noNotices, type ServerNotices } from './serverNotices';
 
 export interface PlacementRequest {
   serviceName: string;
   engine: EngineSettings;
-  stream: StreamOutlook;
+  stream: StreamEstimate;
   /** Tokens to reserve on the engine. */
   reservedTokens: number;
   /** The stream has already started. It goes first, since dropping it would waste the work done so far. */
@@ -65,7 +65,7 @@
   loads: EngineLoads;
   health: OutlierDetector;
   limits?: ServerPermits;
-  words?: Pick<ServerWords, 'mayGet' | 'closedForMs' | 'isLeft'>;
+  notices?: Pick<ServerNotices, 'isAccepting' | 'allBackoffLeftMs' | 'areAllLeaving'>;
   random?: Random;
 }
 
@@ -96,7 +96,7 @@
 
 export function createDecodePlacement(options: DecodePlacementOptions): DecodePlacement {
   const { backend, pools, loads, health, random = Math.random } = options;
-  const { limits = noLimits, words = noWords } = options;
+  const { limits = noLimits, notices = noNotices } = options;
   /** By service: each has its own engines and therefore its own queue. */
   const admissions = createBoundedMap<string, PlacementAdmission>({ maxEntries: maxServices });
   const waiters = new Set<Waiter>();
@@ -153,13 +153,13 @@
 
   /** Refuses the request if, by the engines' own notices, none of them will accept work before it expires. */
   function refuseIfNoneAccepting(waiter: Waiter, nowMs: number): boolean {
-    const backoffMs = words.closedForMs(waiter.serviceName, stages.decode);
+    const backoffMs = notices.allBackoffLeftMs(waiter.serviceName, stages.decode);
     if (backoffMs !== undefined && nowMs + backoffMs >= waiter.expiresAtMs) {
       finish(waiter, {
         kind: 'no-capacity',
         retryAfterMs: backoffMs + retryAfterJitterMs * random(),
       });
-    } else if (words.isLeft(waiter.serviceName)) {
+    } else if (notices.areAllLeaving(waiter.serviceName)) {
       refuse(waiter);
     }
     return !waiters.has(waiter);
@@ -284,7 +284,7 @@
       loads.noteContact(server.id);
       health.record(server.id, 'success', monotonicNowMs());
     }
-    if (outcome.kind === 'done' && words.mayGet(server)) {
+    if (outcome.kind === 'done' && notices.isAccepting(server)) {
       admissionOf(waiter).notePlaced(monotonicNowMs());
       deliver(waiter, { reservation: outcome.value, stream: retryWaitersOnRelease(stream) });
       return;
--- a/packages/routing/src/engineLoads.ts
+++ b/packages/routing/src/engineLoads.ts
@@ -3,7 +3,7 @@
  * Load reports of the engines account for the rest.
  */
 import { createMemoryForecast, type MemoryForecast } from '@bluebellhitch/decisions';
-import type { PeerEngineUse, StreamOutlook } from '@bluebellhitch/protocol';
+import type { PeerEngineUse, StreamEstimate } from '@bluebellhitch/protocol';
 import { monotonicNowMs, runOnce } from '@bluebellhitch/shared';
 import type { EngineLoad } from './backendApi';
 import { initialLengthShape, initialTokensPerMs } from './streamSizes';
@@ -17,7 +17,7 @@
   /** Whether its last load report failed, here or at a peer, and it has not answered a call from here lately. */
   isUnresponsive(serverId: string): boolean;
   /** Counts a stream's memory on a decode engine from now on, though its prompt may still be prefilled elsewhere. */
-  place(serverId: string, stream: StreamOutlook): PlacedStream;
+  place(serverId: string, stream: StreamEstimate): PlacedStream;
   /** Counts a prompt that a prefill engine processes; call the result when it is done. */
   beginPrefill(serverId: string, tokens: number): () => void;
   /** Counts a prompt that a decode engine prefills itself; call the result when its first event has arrived. */
@@ -48,7 +48,7 @@
 
 export interface EngineLoadsOptions {
   /** Called whenever `ownUse` has changed for an engine. */
-  onOwnChange?: (serverId: string) => void;
+  onOwnUseChange?: (serverId: string) => void;
   /** Whether the engine is in the directory. Peers' data on other engines is dropped: it would never be removed. */
   isListed?: (serverId: string) => boolean;
   /** Rate at which a stream emits tokens; used to extrapolate peers' streams since they were received. */
@@ -74,7 +74,7 @@
   reportedAtMs: number;
   contactAtMs: number;
   own: Omit<Use, 'streams'>;
-  ownStreams: Set<StreamOutlook>;
+  ownStreams: Set<StreamEstimate>;
   peers: Map<string, PeerUse>;
   /** Recent changes of memory use that the last report may not include. */
   changes: UsageChange[];
@@ -102,7 +102,7 @@
 const reportedPromptTokens = 5_000;
 
 export function createEngineLoads(options: EngineLoadsOptions = {}): EngineLoads {
-  const { onOwnChange = () => undefined, isListed = () => true } = options;
+  const { onOwnUseChange = () => undefined, isListed = () => true } = options;
   const { tokensPerMs = () => initialTokensPerMs, lengthShape = () => initialLengthShape } =
     options;
   const engines = new Map<string, EngineState>();
@@ -140,18 +140,18 @@
     const state = stateOf(serverId);
     const apply = (signed: number) => {
       state.own[name] += signed;
-      onOwnChange(serverId);
+      onOwnUseChange(serverId);
     };
     apply(amount);
     return runOnce(() => apply(-amount));
   }
 
-  function place(serverId: string, outlook: StreamOutlook): PlacedStream {
+  function place(serverId: string, outlook: StreamEstimate): PlacedStream {
     const state = stateOf(serverId);
     const stream = { ...outlook };
     state.ownStreams.add(stream);
     recordChange(state, heldTokens(stream));
-    onOwnChange(serverId);
+    onOwnUseChange(serverId);
     return {
       noteEmitted(tokens) {
         stream.emittedTokens = Math.max(stream.emittedTokens, tokens);
@@ -159,7 +159,7 @@
       release: runOnce(() => {
         state.ownStreams.delete(stream);
         recordChange(state, -heldTokens(stream));
-        onOwnChange(serverId);
+        onOwnUseChange(serverId);
       }),
     };
   }
@@ -167,7 +167,7 @@
   function setUnresponsive(serverId: string, state: EngineState, isUnresponsive: boolean): void {
     if (state.own.isSilent !== isUnresponsive) {
       state.own.isSilent = isUnresponsive;
-      onOwnChange(serverId);
+      onOwnUseChange(serverId);
     }
   }
 
@@ -176,7 +176,7 @@
   }
 
   /** All known streams on an engine; those of peers are extrapolated from the time they were received. */
-  function streamsAt({ ownStreams, peers }: EngineState): StreamOutlook[] {
+  function streamsAt({ ownStreams, peers }: EngineState): StreamEstimate[] {
     const nowMs = monotonicNowMs();
     const peerStreams = [...peers.values()].flatMap(({ streams, receivedAtMs }) => {
       const growthTokens = tokensPerMs() * (nowMs - receivedAtMs);
@@ -186,7 +186,7 @@
   }
 
   /** Tokens in use by the engine's report that no known stream accounts for. */
-  function unattributedTokens(state: EngineState, streams: readonly StreamOutlook[]): number {
+  function unattributedTokens(state: EngineState, streams: readonly StreamEstimate[]): number {
     const { load, reportedAtMs } = state;
     if (load === undefined || monotonicNowMs() - reportedAtMs > reportLifetimeMs) {
       return 0;
@@ -206,7 +206,7 @@
       otherTokens: unattributedTokens(state, streams),
       capacityTokens: state.load?.totalTokens ?? capacityTokens,
       lengthShape: lengthShape(),
-      caution: marginDeviations,
+      marginDeviations,
     });
   }
 
@@ -294,7 +294,7 @@
 }
 
 /** The use of exactly these engines, with an empty entry for each that is not in use. */
-export function usesAt(
+export function selectEngineUse(
   used: readonly PeerEngineUse[],
   serverIds: readonly string[],
 ): PeerEngineUse[] {
@@ -306,14 +306,14 @@
   return streams.length === 0 && prefillTokens === 0 && ownPrompts === 0 && !isSilent;
 }
 
-function heldTokens({ promptTokens, emittedTokens }: StreamOutlook): number {
+function heldTokens({ promptTokens, emittedTokens }: StreamEstimate): number {
   return promptTokens + emittedTokens;
 }
 
 /** Few streams exceed twice their median length; one that seems to is more likely to be paused. */
 const maxGrowthFactor = 2;
 
-function withGrowth(stream: StreamOutlook, tokens: number): StreamOutlook {
+function withGrowth(stream: StreamEstimate, tokens: number): StreamEstimate {
   const { emittedTokens, medianOutputTokens } = stream;
   const maxTokens = Math.max(emittedTokens, maxGrowthFactor * medianOutputTokens);
   return { ...stream, emittedTokens: Math.min(emittedTokens + tokens, maxTokens) };
--- a/packages/routing/src/fleetPart.ts
+++ b/packages/routing/src/fleetShard.ts
@@ -10,7 +10,7 @@
 import type { BackendServer, Stage } from './model';
 import type { ServerDirectory } from './serverDirectory';
 
-export interface FleetPartOptions {
+export interface FleetShardOptions {
   directory: ServerDirectory;
 }
 
@@ -22,12 +22,12 @@
   spare(serviceName: string, stage?: Stage): readonly BackendServer[];
 }
 
-export interface FleetPart extends ServerPools {
+export interface FleetShard extends ServerPools {
   /** Sets the addresses of all known routers, with or without `ownAddress`. */
   setRouters(ownAddress: string, addresses: readonly string[]): void;
   /** The other routers of this one's shard. */
-  companions(): readonly string[];
-  partCount(): number;
+  shardPeers(): readonly string[];
+  shardCount(): number;
 }
 
 /**
@@ -49,7 +49,7 @@
   spare: readonly BackendServer[];
 }
 
-export function createFleetPart({ directory }: FleetPartOptions): FleetPart {
+export function createFleetShard({ directory }: FleetShardOptions): FleetShard {
   const weights = new Map<string, number>();
   const cachedPools = new Map<string, CachedPools>();
   let shardCount = 1;
@@ -123,8 +123,8 @@
       assignRouters(ownAddress, addresses);
       forgetRemoved();
     },
-    companions: () => peers,
-    partCount: () => shardCount,
+    shardPeers: () => peers,
+    shardCount: () => shardCount,
   };
 }
 
--- a/packages/routing/src/fleetShares.ts
+++ b/packages/routing/src/fleetShares.ts
@@ -2,10 +2,10 @@
  * This router's shares of limits that apply to the whole fleet: an equal share among the routers that it knows, capped
  * at a fixed share because a partitioned router knows only a few.
  */
-import type { FleetPart } from './fleetPart';
+import type { FleetShard } from './fleetShard';
 
 export interface FleetSharesOptions {
-  fleetPart: Pick<FleetPart, 'companions' | 'partCount'>;
+  fleetShard: Pick<FleetShard, 'shardPeers' | 'shardCount'>;
   /** Number of routers in all shards, including this one. */
   routerCount: () => number;
 }
@@ -22,14 +22,14 @@
 const maxConnectionShare = 1 / 8;
 const minConnections = 2;
 
-export function createFleetShares({ fleetPart, routerCount }: FleetSharesOptions): FleetShares {
+export function createFleetShares({ fleetShard, routerCount }: FleetSharesOptions): FleetShares {
   const ownShare = (users: number, maxShare: number) => Math.min(maxShare, usedShare / users);
 
   return {
     connections(fleetTotal) {
       // Routers of this shard and of the shard that uses this one's servers as spare.
-      const shardsPerServer = fleetPart.partCount() > 1 ? 2 : 1;
-      const users = shardsPerServer * (fleetPart.companions().length + 1);
+      const shardsPerServer = fleetShard.shardCount() > 1 ? 2 : 1;
+      const users = shardsPerServer * (fleetShard.shardPeers().length + 1);
       const share = ownShare(users, maxConnectionShare);
       return Math.max(minConnections, Math.floor(fleetTotal * share));
     },
--- a/packages/routing/src/forwardBody.ts
+++ b/packages/routing/src/forwardBody.ts
@@ -1,14 +1,14 @@
 /** Forwards the body of a response as it arrives, with backpressure from the caller. */
-import type { AnswerBody } from './backendApi';
-import type { AnswerWriter } from './callerApi';
+import type { ResponseBody } from './backendApi';
+import type { ResponseWriter } from './callerApi';
 
 export type ForwardOutcome = { kind: 'whole' } | { kind: 'lost'; detail: string };
 
 /** Writes `start` and then `rest`. Ends the caller's response if the body is complete, and aborts it otherwise. */
 export function forwardBody(
-  writer: AnswerWriter,
+  writer: ResponseWriter,
   start: Buffer,
-  rest: AnswerBody,
+  rest: ResponseBody,
 ): Promise<ForwardOutcome> {
   return new Promise((resolve) => {
     writer.write(start);
@@ -19,7 +19,7 @@
         resolve({ kind: 'whole' });
       },
       onLost(detail) {
-        writer.cut();
+        writer.abort();
         resolve({ kind: 'lost', detail });
       },
     });
@@ -27,7 +27,7 @@
 }
 
 /** Writes the chunk and, if the caller reads too slowly, pauses the source until the writer has drained. */
-export function writeOrPause(writer: AnswerWriter, chunk: Buffer, source: AnswerBody): void {
+export function writeOrPause(writer: ResponseWriter, chunk: Buffer, source: ResponseBody): void {
   if (!writer.write(chunk)) {
     source.pause();
     writer.onDrained(source.resume);
--- a/packages/routing/src/httpCall.ts
+++ b/packages/routing/src/httpCall.ts
@@ -1,5 +1,5 @@
 /** Types of one HTTP call to a backend server and of its outcome. */
-import type { AnswerBody } from './backendApi';
+import type { ResponseBody } from './backendApi';
 
 export interface HttpCall {
   /** `ip:port`. */
@@ -21,17 +21,17 @@
   maxConnections: number;
 }
 
-export interface HttpAnswer {
+export interface HttpResponse {
   status: number;
   /** Alternating names and values. */
   headers: readonly string[];
-  body: AnswerBody;
+  body: ResponseBody;
   /** Abandons the response and closes its connection. */
   discard(reason: string): void;
 }
 
 export type HttpOutcome =
-  | { kind: 'answered'; answer: HttpAnswer }
+  | { kind: 'answered'; response: HttpResponse }
   /** Nothing was sent. */
   | { kind: 'not-sent'; detail: string }
   /** Nothing was sent, because `maySend` returned false. */
--- a/packages/routing/src/httpExchange.ts
+++ b/packages/routing/src/httpExchange.ts
@@ -1,7 +1,7 @@
 /** One caller's request over HTTP: writes complete responses, streamed responses, and refusals with their status. */
 import type { ServerResponse } from 'node:http';
 import { assertNever } from '@bluebellhitch/shared';
-import type { AnswerWriter, CallerExchange } from './callerApi';
+import type { ResponseWriter, CallerExchange } from './callerApi';
 import { notRunReasons, type CallerRequest, type Refusal } from './model';
 
 interface RefusalResponse {
@@ -46,7 +46,7 @@
   return {
     request,
     signal: disconnection.signal,
-    answer({ status, headers, body }) {
+    respond({ status, headers, body }) {
       const contentLength = bodylessStatuses.includes(status)
         ? []
         : ['Content-Length', String(body.length)];
@@ -56,19 +56,19 @@
     refuse(refusal) {
       refuseOverHttp(outgoing, refusal, isDraining() || isRouterSpecific(refusal));
     },
-    begin(status, headers) {
+    startResponse(status, headers) {
       writeHead(status, withoutFraming(headers));
       return createResponseWriter(outgoing);
     },
   };
 }
 
-function createResponseWriter(outgoing: ServerResponse): AnswerWriter {
+function createResponseWriter(outgoing: ServerResponse): ResponseWriter {
   return {
     write: (chunk) => outgoing.write(chunk),
     onDrained: (listener) => outgoing.once('drain', listener),
     end: () => outgoing.end(),
-    cut: () => outgoing.destroy(),
+    abort: () => outgoing.destroy(),
   };
 }
 
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -4,18 +4,18 @@
   type AttemptBudgetOptions,
 } from './attemptBudget';
 export type {
-  AnswerBody,
-  BackendAnswer,
+  ResponseBody,
+  BackendResponse,
   BackendApi,
   BodyReader,
   CallOutcome,
   EngineLoad,
-  LostAnswer,
+  LostResponse,
   NotRunCause,
   PrefillOptions,
   PrefillResult,
   Reservation,
-  ServerWord,
+  ServerNotice,
   ReserveOptions,
   RunOptions,
   StageOrder,
@@ -25,8 +25,8 @@
   type BackendConnections,
   type BackendConnectionsOptions,
 } from './backendConnections';
-export type { HttpAnswer, HttpCall, HttpOutcome } from './httpCall';
-export type { AnswerWriter, CallerExchange, WholeAnswer } from './callerApi';
+export type { HttpResponse, HttpCall, HttpOutcome } from './httpCall';
+export type { ResponseWriter, CallerExchange, CompleteResponse } from './callerApi';
 export {
   startCallersServer,
   type CallersServer,
@@ -34,9 +34,14 @@
   type DecodeHead,
   type RequestHead,
 } from './callersServer';
-export { createDatagramReceiver } from './datagramDispatcher';
+export { createDatagramDispatcher } from './datagramDispatcher';
 export { createDecodePlacement, type DecodePlacement } from './decodePlacement';
-export { createEngineLoads, usesAt, type EngineLoads, type PlacedStream } from './engineLoads';
+export {
+  createEngineLoads,
+  selectEngineUse,
+  type EngineLoads,
+  type PlacedStream,
+} from './engineLoads';
 export { createEventSplitter } from './eventSplitter';
 export { createLoadPoller } from './loadPoller';
 export { createStreamSizes, type EndedStream, type StreamSizes } from './streamSizes';
@@ -85,7 +90,7 @@
 } from './objectFollower';
 export { createRequestRouter, type RequestRouter } from './requestRouter';
 export { createRouterMetrics, type RouterMetrics } from './routerMetrics';
-export type { RouterParts } from './routerParts';
+export type { RouterDependencies } from './routerDependencies';
 export { createRouteTable, type RouteTable } from './routeTable';
 export { createServerDirectory, type ServerChange, type ServerDirectory } from './serverDirectory';
 export {
@@ -97,16 +102,16 @@
   type ServerPermits,
 } from './serverLimits';
 export { createServerLoads } from './serverLoads';
-export { createServerWords, createWillingPools, type ServerWords } from './serverWords';
-export { drainBody, readWholeBody } from './wholeBody';
-export { createStageKeeper, type StageKeeperOptions } from './stageKeeper';
+export { createServerNotices, createAvailablePools, type ServerNotices } from './serverNotices';
+export { drainBody, readWholeBody } from './responseBody';
+export { createStageBalancer, type StageBalancerOptions } from './stageBalancer';
 export {
   planStageChange,
   planStageChanges,
-  wantedPrefillCount,
+  targetPrefillCount,
   type StageChange,
 } from './stagePlan';
 export { createFleetShares, type FleetShares } from './fleetShares';
-export { createFleetPart, type FleetPart, type ServerPools } from './fleetPart';
+export { createFleetShard, type FleetShard, type ServerPools } from './fleetShard';
 export { startPeerExchange, type PeerExchange } from './peerExchange';
 export { createWatchPlan, type WatchPlan, type WatchPlanOptions } from './watchPlan';
--- a/packages/routing/src/loadPoller.ts
+++ b/packages/routing/src/loadPoller.ts
@@ -13,7 +13,7 @@
 } from '@bluebellhitch/shared';
 import type { BackendApi, EngineLoad } from './backendApi';
 import type { EngineLoads } from './engineLoads';
-import type { ServerPools } from './fleetPart';
+import type { ServerPools } from './fleetShard';
 import { stages, type BackendServer } from './model';
 import type { ServerDirectory } from './serverDirectory';
 import type { StreamSizes } from './streamSizes';
@@ -70,7 +70,7 @@
       loads.report(server.id, load);
       streamSizes.observeRuns(server.id, load.runs);
     } else if (bornAtMs !== undefined) {
-      directory.noteBorn(server, bornAtMs, load.stage);
+      directory.noteStarted(server, bornAtMs, load.stage);
     }
   }
 
--- a/packages/routing/src/model.ts
+++ b/packages/routing/src/model.ts
@@ -35,7 +35,7 @@
   /** An interrupted stream may be resumed at another backend server after its last event. */
   allowsResume: boolean;
   /** Callers need no API key, even if the configuration has workspaces. */
-  needsNoKey?: boolean;
+  allowsAnonymous?: boolean;
   targets: readonly RouteTarget[];
 }
 
--- a/packages/routing/src/objectFollower.ts
+++ b/packages/routing/src/objectFollower.ts
@@ -23,8 +23,8 @@
   eraOf,
   storePosition,
   type StorePosition,
-  type ToldChange,
-  type ToldChanges,
+  type RelayedChange,
+  type RelayedChanges,
 } from '@bluebellhitch/protocol';
 import {
   createBackgroundLoop,
@@ -37,7 +37,7 @@
 } from '@bluebellhitch/shared';
 
 /** The changes that a watch has returned, in the form in which they are relayed to peers. */
-export type SeenChanges = Omit<ToldChanges, 'kindIndex'>;
+export type SeenChanges = Omit<RelayedChanges, 'kindIndex'>;
 
 export interface ObjectFollowerOptions {
   store: ObjectApi;
@@ -48,20 +48,20 @@
   onListed(objects: readonly StoredObject[]): void;
   onEvent(event: WatchEvent): void;
   /** Called when the store stops answering. */
-  onLost(error: PlatformError): void;
+  onUnavailable(error: PlatformError): void;
   /**
    * Called when the store answers again, or for the first time. `agoMs` is greater than 0 if a peer noticed the
    * recovery that long ago.
    */
-  onBack(agoMs: number): void;
+  onAvailable(agoMs: number): void;
   /** Called when the store was restored from a backup: the list that follows may be older than the known objects. */
-  onEraRisen?: (era: number) => void;
+  onEraChanged?: (era: number) => void;
   /** Called after an answer of the store has been applied. */
   onSeen?: (seen: SeenChanges) => void;
   /** Whether peers watch on behalf of this process and relay the changes to it. */
-  isToldByOthers?: () => boolean;
+  hasRelays?: () => boolean;
   /** How long relayed changes count as current; after that this process calls the store itself. */
-  newsLifetimeMs?: () => number;
+  relayTimeoutMs?: () => number;
   /** Called after a call that started at this time has returned all changes up to then. */
   onProved?: (startedAt: ClockReading) => void;
   /** How long until this process has to verify with a call of its own that it has missed nothing. */
@@ -77,9 +77,9 @@
   /** Whether a peer has seen a newer revision. */
   isBehind(): boolean;
   /** Records that a peer has seen this revision. */
-  noteRevisionElsewhere(revision: StorePosition): void;
+  notePeerRevision(revision: StorePosition): void;
   /** Applies changes that a peer has relayed. */
-  noteTold(relayed: SeenChanges): void;
+  applyRelayed(relayed: SeenChanges): void;
   /** Calls the store immediately. */
   refresh(): void;
 }
@@ -102,9 +102,9 @@
 export function createObjectFollower(options: ObjectFollowerOptions): ObjectFollower {
   const { store, kind, watchWaitMs, random = Math.random } = options;
   const { firstRetryMs = defaultFirstRetryMs, retryLimitMs = defaultRetryLimitMs } = options;
-  const { onSeen = () => undefined, isToldByOthers = () => false } = options;
-  const { newsLifetimeMs = () => 0, proofLeftMs = () => Infinity } = options;
-  const { onProved = () => undefined, onEraRisen = () => undefined } = options;
+  const { onSeen = () => undefined, hasRelays = () => false } = options;
+  const { relayTimeoutMs = () => 0, proofLeftMs = () => Infinity } = options;
+  const { onProved = () => undefined, onEraChanged = () => undefined } = options;
   /** All changes up to this store revision are known; undefined before the first list. */
   let cursor: string | undefined;
   /** Era of the last list. */
@@ -144,8 +144,8 @@
   function noteEra(era: number): void {
     if (listedEra !== undefined && era > listedEra) {
       storeRecoveredAtMs = monotonicNowMs();
-      options.onBack(0);
-      onEraRisen(era);
+      options.onAvailable(0);
+      onEraChanged(era);
     }
     listedEra = era;
     noteRevision(storePosition(era, 0));
@@ -251,14 +251,20 @@
     catchUpTimer.unref();
   }
 
-  function noteRevisionElsewhere(revision: StorePosition): void {
+  function notePeerRevision(revision: StorePosition): void {
     newestPeerRevision = Math.max(newestPeerRevision, revision);
     if (revision > seenRevision) {
       scheduleCatchUp(() => revision > seenRevision);
     }
   }
 
-  function noteTold({ fromRevision, toRevision, changes, ageMs, backAgeMs }: SeenChanges): void {
+  function applyRelayed({
+    fromRevision,
+    toRevision,
+    changes,
+    ageMs,
+    backAgeMs,
+  }: SeenChanges): void {
     if (cursor === undefined || toRevision < Number(cursor)) {
       return;
     }
@@ -269,7 +275,7 @@
     const nowMs = monotonicNowMs();
     if (backAgeMs !== undefined && nowMs - backAgeMs > storeRecoveredAtMs) {
       storeRecoveredAtMs = nowMs - backAgeMs;
-      options.onBack(backAgeMs);
+      options.onAvailable(backAgeMs);
     }
     apply(
       String(fromRevision),
@@ -297,31 +303,31 @@
     }
     if (!isStoreAvailable) {
       isStoreAvailable = true;
-      options.onBack(0);
+      options.onAvailable(0);
     }
   }
 
   function noteStoreLost(error: PlatformError): void {
     if (isStoreAvailable) {
       isStoreAvailable = false;
-      options.onLost(error);
+      options.onUnavailable(error);
     }
   }
 
   /** How long no call to the platform is needed, because the changes relayed by peers suffice. */
   function idleMs(): number {
-    const canIdle = cursor !== undefined && isStoreAvailable && !isRefreshDue && isToldByOthers();
+    const canIdle = cursor !== undefined && isStoreAvailable && !isRefreshDue && hasRelays();
     const verifyLeftMs = answeredAtMs + verifyIntervalMs - monotonicNowMs();
     return canIdle ? Math.min(relayLeftMs(), verifyLeftMs, proofLeftMs()) : 0;
   }
 
   function relayLeftMs(): number {
-    return upToDateAtMs + newsLifetimeMs() - monotonicNowMs();
+    return upToDateAtMs + relayTimeoutMs() - monotonicNowMs();
   }
 
   /** Peers are still relaying changes: the answer only verifies that none is missing. */
   function isVerifying(): boolean {
-    return isToldByOthers() && relayLeftMs() > 0;
+    return hasRelays() && relayLeftMs() > 0;
   }
 
   async function idle(idleForMs: number, signal: AbortSignal): Promise<void> {
@@ -358,8 +364,8 @@
     ...createBackgroundLoop(run),
     seenRevision: () => seenRevision,
     isBehind: () => newestPeerRevision > seenRevision,
-    noteRevisionElsewhere,
-    noteTold,
+    notePeerRevision,
+    applyRelayed,
     refresh,
   };
 }
@@ -368,7 +374,7 @@
   return event.kind === 'put' ? event.object.version : event.version;
 }
 
-function toRelayedChange(event: WatchEvent): ToldChange {
+function toRelayedChange(event: WatchEvent): RelayedChange {
   return event.kind === 'removed'
     ? { kind: 'removed', key: event.key, revision: event.version }
     : {
@@ -379,7 +385,7 @@
       };
 }
 
-function toWatchEvent(kind: ObjectKind, change: ToldChange): WatchEvent {
+function toWatchEvent(kind: ObjectKind, change: RelayedChange): WatchEvent {
   const { key, revision } = change;
   return change.kind === 'removed'
     ? { kind: 'removed', key, version: revision }
--- a/packages/routing/src/peerExchange.ts
+++ b/packages/routing/src/peerExchange.ts
@@ -6,20 +6,20 @@
  */
 import {
   decodePeerMessage,
-  decodeToldChanges,
+  decodeRelayedChanges,
   encodePeerMessage,
-  encodeToldChanges,
+  encodeRelayedChanges,
   isPeerMessage,
-  isToldChanges,
+  isRelayedChanges,
   type PeerEngineUse,
   type PeerMessage,
-  type PeerSighting,
-  type ToldChanges,
+  type PeerContact,
+  type RelayedChanges,
 } from '@bluebellhitch/protocol';
 import { monotonicNowMs, type Random } from '@bluebellhitch/shared';
 import type { Logger } from '@bluebellhitch/telemetry';
 import { openDatagramSocket } from './datagramSocket';
-import { usesAt } from './engineLoads';
+import { selectEngineUse } from './engineLoads';
 
 export interface PeerExchangeOptions {
   host: string;
@@ -30,18 +30,18 @@
   /** What this process has in progress at all engines. */
   ownUse: () => PeerEngineUse[];
   onPeerUse(peerAddress: string, engines: readonly PeerEngineUse[], isFull: boolean): void;
-  onPeerGone(peerAddress: string): void;
+  onPeerTimeout(peerAddress: string): void;
   /** The newest revision that this process has seen of each kind of objects, in a fixed order. */
   seenRevisions: () => number[];
   /** Receives all known routers whenever they have changed. */
   onRouters?: (ownAddress: string, addresses: readonly string[]) => void;
   /** The routers to which the state is sent; all known ones if absent. */
-  companions?: () => readonly string[];
+  shardPeers?: () => readonly string[];
   onPeerRevisions(revisions: readonly number[]): void;
   /** Receives changes in the store that a shard peer has relayed. */
-  onToldChanges?: (relayed: ToldChanges) => void;
+  onRelayedChanges?: (relayed: RelayedChanges) => void;
   /** Receives datagrams of other formats. */
-  onOther?: (bytes: Buffer) => void;
+  onOtherDatagram?: (bytes: Buffer) => void;
   logger: Logger;
   random?: Random;
 }
@@ -52,9 +52,9 @@
   /** Sends a datagram of another format. */
   send(bytes: Buffer, addresses: readonly string[]): Promise<unknown>;
   /** Schedules the changed use of an engine to be sent within milliseconds. */
-  noteChange(serverId: string): void;
+  noteUseChanged(serverId: string): void;
   /** Relays changes in the store to the live shard peers. */
-  tellChanges(relayed: ToldChanges): void;
+  relayChanges(relayed: RelayedChanges): void;
   /** Adds further initial routers. */
   addSeeds(addresses: readonly string[]): void;
   /** Shard peers that have sent their state within the peer timeout. */
@@ -135,7 +135,7 @@
 
   /** The routers to which this process sends what it has in progress. */
   function targetPeers(): string[] {
-    return [...(options.companions?.() ?? peers.keys())];
+    return [...(options.shardPeers?.() ?? peers.keys())];
   }
 
   function reportMembership(): void {
@@ -146,7 +146,7 @@
   }
 
   /** Records a sighting by another process; its age keeps a stopped router from being passed around. */
-  function noteSighting({ address, ageMs }: PeerSighting): void {
+  function noteSighting({ address, ageMs }: PeerContact): void {
     if (address === ownAddress || ageMs > forgetAfterMs) {
       return;
     }
@@ -163,7 +163,7 @@
     isFull: boolean,
     engines: PeerEngineUse[],
     addresses: readonly string[],
-    sightings: PeerSighting[] = isFull ? sampleSightings() : [],
+    sightings: PeerContact[] = isFull ? sampleSightings() : [],
   ): Promise<unknown> {
     sequence += 1;
     const message: PeerMessage = {
@@ -178,12 +178,12 @@
     return socket.send(encodePeerMessage(message), addresses);
   }
 
-  function tellChanges(relayed: ToldChanges): void {
-    const complete = encodeToldChanges(relayed);
+  function relayChanges(relayed: RelayedChanges): void {
+    const complete = encodeRelayedChanges(relayed);
     const bytes =
       complete.length <= maxRelayBytes
         ? complete
-        : encodeToldChanges({ ...relayed, fromRevision: relayed.toRevision, changes: [] });
+        : encodeRelayedChanges({ ...relayed, fromRevision: relayed.toRevision, changes: [] });
     void socket.send(bytes, livePeers());
   }
 
@@ -200,7 +200,7 @@
     return targetPeers().filter((address) => peers.get(address)?.isLive);
   }
 
-  function sampleSightings(): PeerSighting[] {
+  function sampleSightings(): PeerContact[] {
     const nowMs = monotonicNowMs();
     const fresh = [...peers].filter(
       ([, peer]) => peer.incarnation !== undefined && nowMs - peer.lastContactAtMs < maxSharedAgeMs,
@@ -230,7 +230,7 @@
 
   function sendChangedUse(): void {
     sendTimer = undefined;
-    const engines = usesAt(options.ownUse(), [...changedServerIds]);
+    const engines = selectEngineUse(options.ownUse(), [...changedServerIds]);
     changedServerIds.clear();
     const live = livePeers();
     if (live.length > 0) {
@@ -243,7 +243,7 @@
     [...peers].forEach(([address, peer]) => {
       if (peer.isLive && nowMs - peer.useReceivedAtMs > peerTimeoutMs) {
         peer.isLive = false;
-        options.onPeerGone(address);
+        options.onPeerTimeout(address);
         logger.info('peer timed out', { peer: address });
       }
       if (nowMs - peer.lastContactAtMs > forgetAfterMs && !seeds.has(address)) {
@@ -275,19 +275,19 @@
   }
 
   function receive(bytes: Buffer): void {
-    if (isToldChanges(bytes)) {
+    if (isRelayedChanges(bytes)) {
       receiveRelayedChanges(bytes);
     } else if (isPeerMessage(bytes)) {
       receiveUse(bytes);
     } else {
-      options.onOther?.(bytes);
+      options.onOtherDatagram?.(bytes);
     }
   }
 
   function receiveRelayedChanges(bytes: Buffer): void {
-    const relayed = decodeToldChanges(bytes);
+    const relayed = decodeRelayedChanges(bytes);
     if (relayed !== undefined) {
-      options.onToldChanges?.(relayed);
+      options.onRelayedChanges?.(relayed);
     }
   }
 
@@ -338,13 +338,13 @@
   return {
     address: ownAddress,
     send: socket.send,
-    noteChange(serverId) {
+    noteUseChanged(serverId) {
       changedServerIds.add(serverId);
       if (!isClosed) {
         sendTimer ??= setTimeout(sendChangedUse, coalesceMs);
       }
     },
-    tellChanges,
+    relayChanges,
     addSeeds,
     livePeers,
     knownPeerCount: () => peers.size,
--- a/packages/routing/src/placementChoice.ts
+++ b/packages/routing/src/placementChoice.ts
@@ -1,6 +1,6 @@
 /** Chooses among engines with enough free memory for a stream. Pure functions of the given memory forecasts. */
 import type { MemoryForecast } from '@bluebellhitch/decisions';
-import type { StreamOutlook } from '@bluebellhitch/protocol';
+import type { StreamEstimate } from '@bluebellhitch/protocol';
 import type { Random } from '@bluebellhitch/shared';
 import type { BackendServer } from './model';
 
@@ -11,7 +11,7 @@
 }
 
 export interface BestFitOptions {
-  stream: StreamOutlook;
+  stream: StreamEstimate;
   /** The server to use if it has enough memory. */
   preferredId?: string;
   random: Random;
@@ -23,7 +23,7 @@
 /** Whether a late request may be placed. A late answer is worth little and must not use memory needed for others. */
 export function hasHeadroom(
   candidates: readonly PlacementCandidate[],
-  { stream, engineTokens }: { stream: StreamOutlook; engineTokens: number },
+  { stream, engineTokens }: { stream: StreamEstimate; engineTokens: number },
 ): boolean {
   const freeTokens = candidates.reduce(
     (sum, { memory }) => sum + Math.max(0, memory.freeTokens()),
--- a/packages/routing/src/plainChoice.ts
+++ b/packages/routing/src/plainChoice.ts
@@ -1,8 +1,8 @@
 /** Chooses the server for a plain request's next attempt, respecting the servers' limits and backoff notices. */
-import { fromAnyPlace, monotonicNowMs } from '@bluebellhitch/shared';
+import { rotateRandomly, monotonicNowMs } from '@bluebellhitch/shared';
 import type { BackendServer } from './model';
 import type { RequestState } from './requestState';
-import type { RouterParts } from './routerParts';
+import type { RouterDependencies } from './routerDependencies';
 
 export type PlainChoice =
   | { kind: 'chosen'; server: BackendServer }
@@ -20,7 +20,7 @@
 
 export async function choosePlainServer(
   state: RequestState,
-  deps: RouterParts,
+  deps: RouterDependencies,
 ): Promise<PlainChoice> {
   const candidates = candidatesFor(state, deps);
   if (candidates.length === 0) {
@@ -42,15 +42,18 @@
 
 function choiceWithoutCandidates(
   { service }: RequestState,
-  { words, random }: RouterParts,
+  { notices, random }: RouterDependencies,
 ): PlainChoice {
-  const backoffMs = words.closedForMs(service.name);
+  const backoffMs = notices.allBackoffLeftMs(service.name);
   return backoffMs === undefined
     ? { kind: 'none' }
     : { kind: 'resting', retryAfterMs: backoffMs + defaultRetryAfterMs * random() };
 }
 
-function candidatesFor(state: RequestState, { pools, health }: RouterParts): BackendServer[] {
+function candidatesFor(
+  state: RequestState,
+  { pools, health }: RouterDependencies,
+): BackendServer[] {
   const ejected = health.ejected(monotonicNowMs());
   const untried = pools
     .usable(state.service.name)
@@ -61,7 +64,7 @@
 
 function leastLoaded(
   servers: readonly BackendServer[],
-  { serverLoads, random }: RouterParts,
+  { serverLoads, random }: RouterDependencies,
 ): BackendServer | undefined {
   return servers
     .map((server) => ({
@@ -76,9 +79,9 @@
 async function requestPermit(
   candidates: readonly BackendServer[],
   { signal }: RequestState,
-  { limits, random }: RouterParts,
+  { limits, random }: RouterDependencies,
 ): Promise<BackendServer | undefined> {
-  for (const server of fromAnyPlace(candidates, random)) {
+  for (const server of rotateRandomly(candidates, random)) {
     if (signal.aborted) {
       return undefined;
     }
@@ -92,7 +95,7 @@
 /** Adds jitter, so that callers that were refused together do not retry together. */
 function retryAfterLimitsMs(
   candidates: readonly BackendServer[],
-  { limits, random }: RouterParts,
+  { limits, random }: RouterDependencies,
 ): number {
   const soonestMs = Math.min(...candidates.map(({ id }) => limits.waitMs(id)));
   const waitMs = Math.min(maxLimitWaitMs, Math.max(defaultRetryAfterMs, soonestMs));
--- a/packages/routing/src/plainRequest.ts
+++ b/packages/routing/src/plainRequest.ts
@@ -1,7 +1,7 @@
 /** Serves a request of a plain route: one complete answer, with further attempts where the route allows them. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
-import type { BackendAnswer, CallOutcome, NotRunCause } from './backendApi';
-import type { WholeAnswer } from './callerApi';
+import type { BackendResponse, CallOutcome, NotRunCause } from './backendApi';
+import type { CompleteResponse } from './callerApi';
 import { forwardBody } from './forwardBody';
 import {
   notRunReasons,
@@ -12,14 +12,14 @@
 } from './model';
 import { choosePlainServer, defaultRetryAfterMs, type PlainChoice } from './plainChoice';
 import { createLostRefusal, noteStep, remainingMs, type RequestState } from './requestState';
-import type { RouterParts } from './routerParts';
-import { drainBody, readWholeBody } from './wholeBody';
+import type { RouterDependencies } from './routerDependencies';
+import { drainBody, readWholeBody } from './responseBody';
 
 /** Outcome of one attempt. */
 type Attempt =
-  | { kind: 'answer'; answer: WholeAnswer }
+  | { kind: 'answer'; answer: CompleteResponse }
   /** An error answer of the server; forwarded unless a further attempt has a better outcome. */
-  | { kind: 'server-failure'; answer: WholeAnswer }
+  | { kind: 'server-failure'; answer: CompleteResponse }
   | { kind: 'unreachable' }
   /** Not sent: by then the server no longer accepted requests. */
   | { kind: 'withheld' }
@@ -48,7 +48,7 @@
 const attemptTimeoutFactor = 2.5;
 const minTimeoutShare = 0.4;
 
-export async function servePlain(state: RequestState, deps: RouterParts): Promise<void> {
+export async function servePlain(state: RequestState, deps: RouterDependencies): Promise<void> {
   const progress: PlainProgress = {};
   while (remainingMs(state) > 0 && !state.exchange.signal.aborted) {
     const choice = await choosePlainServer(state, deps);
@@ -62,7 +62,7 @@
     const attempt = await runAttempt(server, state, deps);
     noteStep(state, `${server.id} ${attempt.kind}`);
     if (attempt.kind === 'answer') {
-      state.exchange.answer(attempt.answer);
+      state.exchange.respond(attempt.answer);
       return;
     }
     if (attempt.kind === 'forwarded') {
@@ -78,7 +78,7 @@
 }
 
 /** Takes a further attempt from the budget; the first one that reaches a server is free. */
-function mayAttempt(state: RequestState, { budget, metrics }: RouterParts): boolean {
+function mayAttempt(state: RequestState, { budget, metrics }: RouterDependencies): boolean {
   if (state.sentCount === 0 && !state.wasMisdirected) {
     return true;
   }
@@ -125,7 +125,7 @@
 function finish(state: RequestState, progress: PlainProgress): void {
   const { best } = progress;
   if (best?.kind === 'answer' || best?.kind === 'server-failure') {
-    state.exchange.answer(best.answer);
+    state.exchange.respond(best.answer);
     return;
   }
   state.exchange.refuse(createRefusal(state, progress));
@@ -161,7 +161,7 @@
 async function runAttempt(
   server: BackendServer,
   state: RequestState,
-  deps: RouterParts,
+  deps: RouterDependencies,
 ): Promise<Attempt> {
   const { backend, serverLoads, health } = deps;
   const endLoad = serverLoads.begin(server.id);
@@ -197,7 +197,7 @@
 }
 
 async function readAttempt(
-  outcome: CallOutcome<BackendAnswer>,
+  outcome: CallOutcome<BackendResponse>,
   state: RequestState,
 ): Promise<Attempt> {
   switch (outcome.kind) {
@@ -222,7 +222,7 @@
   }
 }
 
-async function readAnswer(answer: BackendAnswer, state: RequestState): Promise<Attempt> {
+async function readAnswer(answer: BackendResponse, state: RequestState): Promise<Attempt> {
   const { status, headers, isSealed } = answer;
   if (!isSealed) {
     await drainBody(answer.body);
@@ -234,7 +234,7 @@
     return { kind: 'lost', detail: bodyRead.detail };
   }
   if (bodyRead.kind === 'long') {
-    const writer = state.exchange.begin(status, headers);
+    const writer = state.exchange.startResponse(status, headers);
     const forwarded = await forwardBody(writer, bodyRead.start, bodyRead.rest);
     return { kind: 'forwarded', isWhole: forwarded.kind === 'whole' };
   }
@@ -247,7 +247,7 @@
   server: BackendServer,
   attempt: Attempt,
   state: RequestState,
-  { health }: RouterParts,
+  { health }: RouterDependencies,
 ): void {
   if (attempt.kind === 'withheld') {
     return;
--- a/packages/routing/src/prefillStage.ts
+++ b/packages/routing/src/prefillStage.ts
@@ -7,7 +7,7 @@
 import type { PrefillResult } from './backendApi';
 import { stages, type BackendServer } from './model';
 import { noteStep, remainingMs, type RequestState } from './requestState';
-import type { RouterParts } from './routerParts';
+import type { RouterDependencies } from './routerDependencies';
 
 export type PrefillOutcome =
   | { kind: 'done'; result: PrefillResult }
@@ -46,7 +46,7 @@
 /** Time from the end of the prefill to the caller's first event. */
 const firstEventMs = 60;
 
-export function createPrefillStage(deps: RouterParts): PrefillStage {
+export function createPrefillStage(deps: RouterDependencies): PrefillStage {
   const { backend, pools, engineLoads, health, budget, metrics, limits } = deps;
   const speed = createRecentQuantile({
     quantile: speedQuantile,
--- a/packages/routing/src/quotaExchange.ts
+++ b/packages/routing/src/quotaExchange.ts
@@ -9,7 +9,7 @@
   type QuotaSlack,
   type QuotaUse,
 } from '@bluebellhitch/decisions';
-import { encodeQuotaMessage, mostToldUses, type QuotaMessage } from '@bluebellhitch/protocol';
+import { encodeQuotaMessage, maxUsesPerMessage, type QuotaMessage } from '@bluebellhitch/protocol';
 import { monotonicNowMs, type Random } from '@bluebellhitch/shared';
 import { quotaUnits, type CallerRequest, type Workspace, type WorkspaceQuota } from './model';
 
@@ -29,7 +29,7 @@
 
 /** What one request was charged; to be refunded if it has certainly not run. */
 export interface QuotaCharge {
-  giveBack(): void;
+  refund(): void;
 }
 
 export type ChargeOutcome =
@@ -46,7 +46,7 @@
   /** Sets the other routers of this one's shard, and the number of routers in the fleet. */
   setRouters(shardPeers: readonly string[], routerCount: number): void;
   charge(workspace: Workspace, request: CallerRequest): ChargeOutcome;
-  noteHeard(router: string): void;
+  noteContact(router: string): void;
   receive(message: QuotaMessage): void;
   /** Announces to the other routers that this process admits nothing more. */
   close(): void;
@@ -60,7 +60,7 @@
 /** Any datagram may arrive at the port: this bounds the state kept for forged senders. */
 const maxSenders = 512;
 /** The charge of a request that no quota applies to. */
-export const nothingCharged: QuotaCharge = { giveBack: () => undefined };
+export const noCharge: QuotaCharge = { refund: () => undefined };
 
 export function createQuotaExchange(options: QuotaExchangeOptions): QuotaExchange {
   const { slack, random = Math.random } = options;
@@ -83,7 +83,7 @@
     const uses = quota.usesSince(sinceMs, monotonicNowMs());
     if (uses.length > 0) {
       send(uses, options.channel()?.livePeers() ?? []);
-      quota.noteTold();
+      quota.noteAnnounced();
       announcedAtMs = monotonicNowMs();
     }
   }
@@ -96,9 +96,9 @@
     sequence += 1;
     const message = {
       ...{ senderAddress: channel.address, life: incarnation, sequence, isLast },
-      isYoung: quota.isYoung(monotonicNowMs()),
+      isYoung: quota.isWarmingUp(monotonicNowMs()),
       uses: uses
-        .slice(0, mostToldUses)
+        .slice(0, maxUsesPerMessage)
         .map(({ name, ...rest }) => ({ workspaceName: name, ...rest })),
     };
     void channel.send(encodeQuotaMessage(message), addresses);
@@ -116,7 +116,7 @@
 
   function charge({ name, quota: limit }: Workspace, request: CallerRequest): ChargeOutcome {
     if (limit === undefined) {
-      return { kind: 'charged', charge: nothingCharged };
+      return { kind: 'charged', charge: noCharge };
     }
     const cost = costOf(request, limit);
     const decision = quota.take(name, cost, monotonicNowMs());
@@ -124,11 +124,11 @@
       return decision;
     }
     announceIfUrgent(name);
-    return { kind: 'charged', charge: { giveBack: () => giveBack(name, cost) } };
+    return { kind: 'charged', charge: { refund: () => refund(name, cost) } };
   }
 
-  function giveBack(name: string, cost: number): void {
-    quota.giveBack(name, cost, monotonicNowMs());
+  function refund(name: string, cost: number): void {
+    quota.refund(name, cost, monotonicNowMs());
     announceIfUrgent(name);
   }
 
@@ -161,8 +161,8 @@
         });
     },
     charge,
-    noteHeard(router) {
-      quota.noteHeard(router, monotonicNowMs());
+    noteContact(router) {
+      quota.noteContact(router, monotonicNowMs());
       if (!syncedRouters.has(router)) {
         syncedRouters.add(router);
         sendRecentUses(router);
@@ -185,12 +185,12 @@
         isYoung: message.isYoung,
         uses: remoteUses,
       };
-      quota.hear(announcement, monotonicNowMs());
+      quota.applyRemote(announcement, monotonicNowMs());
       if (isNewIncarnation && !message.isLast) {
         sendRecentUses(senderAddress);
       }
       if (message.isLast) {
-        quota.noteLeft(senderAddress);
+        quota.noteStopped(senderAddress);
       }
     },
     close() {
--- a/packages/routing/src/requestRouter.ts
+++ b/packages/routing/src/requestRouter.ts
@@ -1,7 +1,7 @@
 /** Routes a caller's request, serves it to its final answer or refusal, and records its outcome in one log line. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { DecisionRing } from '@bluebellhitch/telemetry';
-import type { AnswerWriter, CallerExchange, WholeAnswer } from './callerApi';
+import type { ResponseWriter, CallerExchange, CompleteResponse } from './callerApi';
 import {
   notRunReasons,
   routeKinds,
@@ -10,11 +10,11 @@
   type Route,
   type Workspace,
 } from './model';
-import { nothingCharged, type ChargeOutcome, type QuotaExchange } from './quotaExchange';
+import { noCharge, type ChargeOutcome, type QuotaExchange } from './quotaExchange';
 import { createPrefillStage } from './prefillStage';
 import { servePlain } from './plainRequest';
 import { createRequestState, type RequestState } from './requestState';
-import type { RouterParts } from './routerParts';
+import type { RouterDependencies } from './routerDependencies';
 import { chooseTarget, type RouteTable } from './routeTable';
 import { serveStream } from './streamRequest';
 import { decideAccess, type ConfigurationFreshness } from './workspaceAccess';
@@ -24,13 +24,13 @@
   serve(exchange: CallerExchange): Promise<void>;
 }
 
-export interface RequestRouterOptions extends RouterParts {
+export interface RequestRouterOptions extends RouterDependencies {
   /** The configuration in force; undefined until the first is known. */
   routeTable: () => RouteTable | undefined;
   /** Whether that configuration is known to be the newest. */
   freshness: () => ConfigurationFreshness;
   /** Called when a request is refused because the configuration may be stale; refreshing it now would help. */
-  onStale(): void;
+  onStaleConfiguration(): void;
   quota: Pick<QuotaExchange, 'charge'>;
   /** Records the steps and outcomes of the latest requests. */
   ring: DecisionRing;
@@ -90,7 +90,7 @@
     } finally {
       end();
       if (recorded.hasNotRun() || state.sentCount === 0) {
-        charged.charge.giveBack();
+        charged.charge.refund();
       }
       recorded.report(state, table.configuration.version);
     }
@@ -98,7 +98,7 @@
 
   function chargeQuota(workspace: Workspace | undefined, request: CallerRequest): ChargeOutcome {
     return workspace === undefined
-      ? { kind: 'charged', charge: nothingCharged }
+      ? { kind: 'charged', charge: noCharge }
       : options.quota.charge(workspace, request);
   }
 
@@ -124,7 +124,7 @@
   ): void {
     const cause = refusalCause(refusal);
     if (cause === notRunReasons.staleConfiguration) {
-      options.onStale();
+      options.onStaleConfiguration();
     }
     options.metrics.countRefusedAtOnce(cause, workspace?.name);
     logger.info('request refused', {
@@ -190,29 +190,29 @@
   const exchange: CallerExchange = {
     request: inner.request,
     signal: inner.signal,
-    answer(answer: WholeAnswer) {
+    respond(answer: CompleteResponse) {
       outcome = `answered-${answer.status}`;
       noteFirstByte();
-      inner.answer(answer);
+      inner.respond(answer);
     },
     refuse(refusal: Refusal) {
       isNotRun = refusal.kind === 'not-run';
       outcome = refusal.kind === 'not-run' ? `not-run-${refusal.reason}` : refusal.kind;
       inner.refuse(refusal);
     },
-    begin(status, headers): AnswerWriter {
+    startResponse(status, headers): ResponseWriter {
       outcome = 'unfinished';
       noteFirstByte();
-      const writer = inner.begin(status, headers);
+      const writer = inner.startResponse(status, headers);
       return {
         ...writer,
         end() {
           outcome = `answered-${status}`;
           writer.end();
         },
-        cut() {
+        abort() {
           outcome = 'cut';
-          writer.cut();
+          writer.abort();
         },
       };
     },
@@ -221,9 +221,9 @@
   function report(state: RequestState, configurationVersion: number): void {
     const durationMs = monotonicNowMs() - arrivedAtMs;
     metrics.countRequest(labels, outcome);
-    metrics.observeWhole(labels, durationMs);
+    metrics.observeTotalDuration(labels, durationMs);
     if (workspace !== undefined) {
-      metrics.observeWorkspace(workspace.name, outcome, firstByteMs);
+      metrics.observeWorkspaceRequest(workspace.name, outcome, firstByteMs);
     }
     logger.info('request ended', {
       requestId: state.request.id,
--- a/packages/routing/src/wholeBody.ts
+++ b/packages/routing/src/responseBody.ts
@@ -1,10 +1,10 @@
 /** Reads a response body of a backend server into memory, so that only a complete one is sent to the caller. */
-import type { AnswerBody } from './backendApi';
+import type { ResponseBody } from './backendApi';
 
 export type ResponseBodyOutcome =
   | { kind: 'whole'; body: Buffer }
   /** The body exceeds the size limit: the flow is paused, and `start` has been received so far. */
-  | { kind: 'long'; start: Buffer; rest: AnswerBody }
+  | { kind: 'long'; start: Buffer; rest: ResponseBody }
   | { kind: 'lost'; detail: string };
 
 /** Bodies up to this size are buffered completely, so that the request can be retried if the body is truncated. */
@@ -12,7 +12,7 @@
 
 /** Reads the body up to `maxBytes`; a longer one has to be read on from `rest`. */
 export function readWholeBody(
-  body: AnswerBody,
+  body: ResponseBody,
   maxBytes: number = defaultMaxBytes,
 ): Promise<ResponseBodyOutcome> {
   return new Promise((resolve) => {
@@ -34,7 +34,7 @@
 }
 
 /** Reads and discards a body, so that its connection can be reused. Resolves also if the body is lost. */
-export function drainBody(body: AnswerBody): Promise<void> {
+export function drainBody(body: ResponseBody): Promise<void> {
   return new Promise((resolve) => {
     body.read({ onData: () => undefined, onEnd: resolve, onLost: () => resolve() });
   });
--- a/packages/routing/src/routerParts.ts
+++ b/packages/routing/src/routerDependencies.ts
@@ -6,15 +6,15 @@
 import type { BackendApi } from './backendApi';
 import type { DecodePlacement } from './decodePlacement';
 import type { EngineLoads } from './engineLoads';
-import type { ServerPools } from './fleetPart';
+import type { ServerPools } from './fleetShard';
 import type { RouterMetrics } from './routerMetrics';
 import type { ServerDirectory } from './serverDirectory';
 import type { ServerPermits } from './serverLimits';
 import type { ServerLoads } from './serverLoads';
-import type { ServerWords } from './serverWords';
+import type { ServerNotices } from './serverNotices';
 import type { StreamSizes } from './streamSizes';
 
-export interface RouterParts {
+export interface RouterDependencies {
   backend: BackendApi;
   directory: ServerDirectory;
   pools: ServerPools;
@@ -22,7 +22,7 @@
   serverLoads: ServerLoads;
   /** Permits for requests to servers that state a rate limit. */
   limits: ServerPermits;
-  words: Pick<ServerWords, 'mayGet' | 'closedForMs'>;
+  notices: Pick<ServerNotices, 'isAccepting' | 'allBackoffLeftMs'>;
   engineLoads: EngineLoads;
   streamSizes: StreamSizes;
   placement: DecodePlacement;
--- a/packages/routing/src/routerMetrics.ts
+++ b/packages/routing/src/routerMetrics.ts
@@ -11,7 +11,7 @@
 export interface RouterMetrics extends RenderedMetrics {
   countRequest(labels: RequestLabels, outcome: string): void;
   observeFirstByte(labels: RequestLabels, durationMs: number): void;
-  observeWhole(labels: RequestLabels, durationMs: number): void;
+  observeTotalDuration(labels: RequestLabels, durationMs: number): void;
   observePlacement(service: string, durationMs: number): void;
   /** Ratio of the expected to the actual output tokens of a stream that has ended. */
   observeLengthForecast(service: string, ratio: number): void;
@@ -28,11 +28,15 @@
   /** Counts permits for requests to servers that state a limit. */
   countPermit(outcome: string): void;
   /** Counts notices of backend servers about themselves, by kind. */
-  countServerWord(kind: string): void;
+  countServerNotice(kind: string): void;
   countUnreadableObject(kind: string): void;
   /** Counts requests that are refused before any work was done for them. */
   countRefusedAtOnce(cause: string, workspace?: string): void;
-  observeWorkspace(workspace: string, outcome: string, firstByteMs: number | undefined): void;
+  observeWorkspaceRequest(
+    workspace: string,
+    outcome: string,
+    firstByteMs: number | undefined,
+  ): void;
 }
 
 const labelNames = ['service', 'kind'] as const;
@@ -160,7 +164,7 @@
     countRequest: (labels, outcome) => requests.inc({ ...labels, outcome }),
     observeFirstByte: (labels, durationMs) =>
       firstByte.observe({ ...labels }, durationMs / msPerSecond),
-    observeWhole: (labels, durationMs) =>
+    observeTotalDuration: (labels, durationMs) =>
       totalDuration.observe({ ...labels }, durationMs / msPerSecond),
     observePlacement: (service, durationMs) =>
       placements.observe({ service }, durationMs / msPerSecond),
@@ -174,14 +178,14 @@
     setServers: (count) => servers.set(count),
     setLimitedServers: (count) => limitedServers.set(count),
     countPermit: (outcome) => permits.inc({ outcome }),
-    countServerWord: (word) => serverNotices.inc({ word }),
+    countServerNotice: (word) => serverNotices.inc({ word }),
     countUnreadableObject: (kind) => unreadableObjects.inc({ kind }),
     countRefusedAtOnce: (cause, workspace) =>
       refusedAtOnce.inc({
         cause,
         workspace: workspace === undefined ? '' : workspaceLabel(workspace),
       }),
-    observeWorkspace(workspace, outcome, firstByteMs) {
+    observeWorkspaceRequest(workspace, outcome, firstByteMs) {
       const name = workspaceLabel(workspace);
       workspaceRequests.inc({ workspace: name, outcome });
       if (firstByteMs !== undefined) {
--- a/packages/routing/src/serverDirectory.ts
+++ b/packages/routing/src/serverDirectory.ts
@@ -38,14 +38,14 @@
   /** Replaces all servers by the store's complete list; the entries of `unreadableNames` could not be read. */
   replaceAll(servers: readonly BackendServer[], unreadableNames?: readonly string[]): void;
   /** The server itself reports the start of its incarnation, possibly before its new entry arrives. */
-  noteBorn(server: BackendServer, bornAtMs: number, stage: Stage): void;
+  noteStarted(server: BackendServer, bornAtMs: number, stage: Stage): void;
   /** The server has announced that it is leaving. */
   noteLeaving(server: Pick<BackendServer, 'id'>): void;
   storeLost(): void;
   /** The store answers again, and has done so for `agoMs`. */
-  storeBack(agoMs?: number): void;
+  storeRecovered(agoMs?: number): void;
   /** The store was restored from a backup: the next lists may be older than the known state. */
-  noteOlderCopy(): void;
+  noteRestored(): void;
   get(id: string): BackendServer | undefined;
   /** Servers that may get new requests. */
   usable(serviceName: string, stage?: Stage): BackendServer[];
@@ -207,7 +207,7 @@
     [...servers.keys()].filter((name) => !names.has(name)).forEach(remove);
   }
 
-  function noteBorn(server: BackendServer, bornAtMs: number, stage: Stage): void {
+  function noteStarted(server: BackendServer, bornAtMs: number, stage: Stage): void {
     const known = servers.get(server.name);
     if (known?.id !== server.id || bornAtMs <= (server.bornAtMs ?? -Infinity)) {
       return;
@@ -239,16 +239,16 @@
     remove,
     withdraw,
     replaceAll,
-    noteBorn,
+    noteStarted,
     noteLeaving,
     storeLost() {
       isStoreUnavailable = true;
     },
-    storeBack(agoMs = 0) {
+    storeRecovered(agoMs = 0) {
       isStoreUnavailable = false;
       storeRecoveredAtMs = Math.max(storeRecoveredAtMs, monotonicNowMs() - agoMs);
     },
-    noteOlderCopy() {
+    noteRestored() {
       restoreGraceUntilMs = monotonicNowMs() + restoreGraceMs;
     },
     get,
--- a/packages/routing/src/serverLimits.ts
+++ b/packages/routing/src/serverLimits.ts
@@ -6,16 +6,16 @@
 import {
   createBoundedMap,
   createSharedPermits,
-  type LimitSighting,
+  type LimitObservation,
 } from '@bluebellhitch/decisions';
 import {
   encodeLimitMessage,
-  mostToldLimits,
+  maxLimitsPerMessage,
   type LimitMessage,
   type PermitAnswer,
   type PermitQuestion,
 } from '@bluebellhitch/protocol';
-import { fromAnyPlace, monotonicNowMs, type Random } from '@bluebellhitch/shared';
+import { rotateRandomly, monotonicNowMs, type Random } from '@bluebellhitch/shared';
 import type { Logger } from '@bluebellhitch/telemetry';
 import type { BackendServer } from './model';
 
@@ -29,7 +29,7 @@
   channel: () => LimitChannel | undefined;
   isListed: (serverId: string) => boolean;
   /** Receives the number of servers that state a limit whenever it may have changed. */
-  onCount?: (limitedServers: number) => void;
+  onLimitedCount?: (limitedServers: number) => void;
   onPermit?: (outcome: PermitOutcome) => void;
   logger: Logger;
   random?: Random;
@@ -96,7 +96,7 @@
 }
 
 export function createServerLimits(options: ServerLimitsOptions): ServerLimits {
-  const { onCount = () => undefined, onPermit = () => undefined, logger } = options;
+  const { onLimitedCount = () => undefined, onPermit = () => undefined, logger } = options;
   const { random = Math.random } = options;
   const permits = createSharedPermits({ nowMs: monotonicNowMs(), random });
   const questions = new Map<number, PendingQuestion>();
@@ -111,8 +111,8 @@
   const announceIntervalMs = () =>
     Math.max(minAnnounceIntervalMs, otherRouters.length * announceIntervalPerRouterMs);
 
-  function announce(observations: readonly LimitSighting[]): void {
-    const limits = observations.slice(0, mostToldLimits);
+  function announce(observations: readonly LimitObservation[]): void {
+    const limits = observations.slice(0, maxLimitsPerMessage);
     if (limits.length > 0 && otherRouters.length > 0) {
       void options
         .channel()
@@ -124,7 +124,7 @@
     const nowMs = monotonicNowMs();
     if (nowMs - announcedAtMs >= announceIntervalMs() - minAnnounceIntervalMs / 2) {
       announcedAtMs = nowMs;
-      announce(permits.sightingsSince(nowMs - announceRepeats * announceIntervalMs(), nowMs));
+      announce(permits.observationsSince(nowMs - announceRepeats * announceIntervalMs(), nowMs));
     }
   }
 
@@ -132,7 +132,7 @@
     const sinceMs = monotonicNowMs() - coalesceMs;
     announceTimer ??= setTimeout(() => {
       announceTimer = undefined;
-      announce(permits.sightingsSince(sinceMs, monotonicNowMs()));
+      announce(permits.observationsSince(sinceMs, monotonicNowMs()));
     }, coalesceMs);
   }
 
@@ -146,21 +146,21 @@
     }
     if (before !== rate) {
       logger.info('server limit', { id, serviceName, requestsPerSecond: rate, before });
-      onCount(permits.limitedCount());
+      onLimitedCount(permits.limitedServerCount());
     }
   }
 
-  function applyAnnounced(observation: LimitSighting): void {
+  function applyAnnounced(observation: LimitObservation): void {
     if (!options.isListed(observation.serverId)) {
       return;
     }
     const { serverId: id } = observation;
     const before = permits.limitOf(id);
-    permits.hear(observation, monotonicNowMs());
+    permits.applyRemote(observation, monotonicNowMs());
     const now = permits.limitOf(id);
     if (before !== now) {
       logger.info('server limit heard', { id, requestsPerSecond: now, before });
-      onCount(permits.limitedCount());
+      onLimitedCount(permits.limitedServerCount());
     }
   }
 
@@ -220,7 +220,7 @@
     const issuers = permits
       .issuers(serverId, nowMs)
       .filter((issuer) => (refusedUntilMs.get(`${serverId} ${issuer}`) ?? -Infinity) <= nowMs);
-    for (const issuer of fromAnyPlace(issuers, random).slice(0, maxIssuersAsked)) {
+    for (const issuer of rotateRandomly(issuers, random).slice(0, maxIssuersAsked)) {
       if (await ask(issuer, serverId)) {
         onPermit('granted');
         return true;
@@ -261,7 +261,7 @@
     waitMs: (serverId) => permits.waitMs(serverId, monotonicNowMs()) ?? defaultWaitMs,
     forget(serverId) {
       permits.forget(serverId);
-      onCount(permits.limitedCount());
+      onLimitedCount(permits.limitedServerCount());
     },
     close() {
       clearInterval(reannounceTimer);
--- a/packages/routing/src/serverWords.ts
+++ b/packages/routing/src/serverNotices.ts
@@ -1,50 +1,51 @@
 /** Applies the notices that backend servers send in their responses, and records them in log and metrics. */
-import { createBoundedMap, createRestPeriods } from '@bluebellhitch/decisions';
+import { createBoundedMap, createBackoffPeriods } from '@bluebellhitch/decisions';
 import { assertNever, monotonicNowMs } from '@bluebellhitch/shared';
 import type { Logger } from '@bluebellhitch/telemetry';
-import type { ServerWord } from './backendApi';
-import type { ServerPools } from './fleetPart';
+import type { ServerNotice } from './backendApi';
+import type { ServerPools } from './fleetShard';
 import type { BackendServer, Stage } from './model';
 import type { ServerDirectory } from './serverDirectory';
 import type { ServerLimits } from './serverLimits';
 
-export interface ServerWordsOptions {
+export interface ServerNoticesOptions {
   directory: Pick<ServerDirectory, 'get' | 'all' | 'usable' | 'noteLeaving'>;
   limits: Pick<ServerLimits, 'note'>;
   /** Called for each notice except `no-limit`, which nearly all responses carry. */
-  onWord?: (kind: ServerWord['kind']) => void;
+  onNotice?: (kind: ServerNotice['kind']) => void;
   logger: Logger;
 }
 
-export interface ServerWords {
+export interface ServerNotices {
   /** Applies the notices of one response of the server. */
-  note(server: BackendServer, notices: readonly ServerWord[]): void;
+  note(server: BackendServer, notices: readonly ServerNotice[]): void;
   /** Whether this incarnation of the server takes requests: it is listed, not leaving and not in backoff. */
-  mayGet(server: Pick<BackendServer, 'id'>): boolean;
+  isAccepting(server: Pick<BackendServer, 'id'>): boolean;
   /** Time until the server's backoff ends, during which it wants no requests at all; 0 without one. */
-  restLeftMs(serverId: string): number;
+  backoffLeftMs(serverId: string): number;
   /**
    * Time until the first backoff ends among the service's servers that are not leaving; undefined unless all of them
    * are in backoff. `stage` restricts this to engines of that stage.
    */
-  closedForMs(serviceName: string, stage?: Stage): number | undefined;
+  allBackoffLeftMs(serviceName: string, stage?: Stage): number | undefined;
   /** Whether servers of the service are listed and all of them are leaving. */
-  isLeft(serviceName: string): boolean;
+  areAllLeaving(serviceName: string): boolean;
 }
 
 /** Stands in where servers send no notices. */
-export const noWords: Pick<ServerWords, 'mayGet' | 'closedForMs' | 'isLeft'> = {
-  mayGet: () => true,
-  closedForMs: () => undefined,
-  isLeft: () => false,
-};
+export const noNotices: Pick<ServerNotices, 'isAccepting' | 'allBackoffLeftMs' | 'areAllLeaving'> =
+  {
+    isAccepting: () => true,
+    allBackoffLeftMs: () => undefined,
+    areAllLeaving: () => false,
+  };
 
 /** Bounds the memory of logged notices: without it each response would repeat the log line. */
 const maxRemembered = 4_096;
 
-export function createServerWords(options: ServerWordsOptions): ServerWords {
-  const { directory, limits, onWord = () => undefined, logger } = options;
-  const backoffs = createRestPeriods();
+export function createServerNotices(options: ServerNoticesOptions): ServerNotices {
+  const { directory, limits, onNotice = () => undefined, logger } = options;
+  const backoffs = createBackoffPeriods();
   const logged = createBoundedMap<string, true>({ maxEntries: maxRemembered });
 
   /** Whether this is the server's first notice of this kind. */
@@ -55,7 +56,7 @@
     return isFirst;
   }
 
-  function applyNotice({ id, serviceName }: BackendServer, notice: ServerWord): void {
+  function applyNotice({ id, serviceName }: BackendServer, notice: ServerNotice): void {
     switch (notice.kind) {
       case 'limit':
         limits.note({ id, serviceName }, notice.requestsPerSecond);
@@ -84,25 +85,25 @@
     }
   }
 
-  const restLeftMs = (serverId: string) => backoffs.leftMs(serverId, monotonicNowMs());
+  const backoffLeftMs = (serverId: string) => backoffs.leftMs(serverId, monotonicNowMs());
 
   return {
     note(server, notices) {
       notices.forEach((notice) => {
         if (notice.kind !== 'no-limit') {
-          onWord(notice.kind);
+          onNotice(notice.kind);
         }
         applyNotice(server, notice);
       });
     },
-    mayGet: ({ id }) => directory.get(id)?.isDraining === false && restLeftMs(id) === 0,
-    restLeftMs,
-    closedForMs(serviceName, stage) {
-      const leftMs = directory.usable(serviceName, stage).map(({ id }) => restLeftMs(id));
+    isAccepting: ({ id }) => directory.get(id)?.isDraining === false && backoffLeftMs(id) === 0,
+    backoffLeftMs,
+    allBackoffLeftMs(serviceName, stage) {
+      const leftMs = directory.usable(serviceName, stage).map(({ id }) => backoffLeftMs(id));
       const soonestMs = Math.min(...leftMs);
       return leftMs.length > 0 && soonestMs > 0 ? soonestMs : undefined;
     },
-    isLeft(serviceName) {
+    areAllLeaving(serviceName) {
       const listed = directory.all().filter((server) => server.serviceName === serviceName);
       return listed.length > 0 && listed.every(({ isDraining }) => isDraining);
     },
@@ -110,11 +111,11 @@
 }
 
 /** The pools without servers that are in backoff. */
-export function createWillingPools(
+export function createAvailablePools(
   pools: ServerPools,
-  { restLeftMs }: Pick<ServerWords, 'restLeftMs'>,
+  { backoffLeftMs }: Pick<ServerNotices, 'backoffLeftMs'>,
 ): ServerPools {
-  const isAvailable = ({ id }: BackendServer) => restLeftMs(id) === 0;
+  const isAvailable = ({ id }: BackendServer) => backoffLeftMs(id) === 0;
   return {
     usable: (serviceName, stage) => pools.usable(serviceName, stage).filter(isAvailable),
     spare: (serviceName, stage) => pools.spare(serviceName, stage).filter(isAvailable),
--- a/packages/routing/src/stageKeeper.ts
+++ b/packages/routing/src/stageBalancer.ts
@@ -16,7 +16,7 @@
 import type { ServerDirectory } from './serverDirectory';
 import { planStageChanges, type StageChange } from './stagePlan';
 
-export interface StageKeeperOptions {
+export interface StageBalancerOptions {
   directory: ServerDirectory;
   backend: Pick<BackendApi, 'readLoad' | 'orderStage'>;
   /** Services with engines, from the current configuration. */
@@ -50,7 +50,7 @@
 /** An engine finishes its running work before it changes; this allows for a long answer. */
 const drainMs = 10_000;
 
-export function createStageKeeper(options: StageKeeperOptions): BackgroundLoop {
+export function createStageBalancer(options: StageBalancerOptions): BackgroundLoop {
   const { directory, backend, services, holderId, leaseMs, logger, random = Math.random } = options;
   const marginMs = orderTimeoutMs + leaseMs / 2;
   const lease = options.createLease({
--- a/packages/routing/src/stagePlan.ts
+++ b/packages/routing/src/stagePlan.ts
@@ -40,7 +40,7 @@
   const { engines, pending, prefillShare } = options;
   const stageOf = (server: BackendServer) => pending.get(server.id) ?? server.stage;
   const prefill = engines.filter((server) => stageOf(server) === stages.prefill);
-  const targetCount = wantedPrefillCount(engines.length, prefillShare);
+  const targetCount = targetPrefillCount(engines.length, prefillShare);
   const unchanged = engines.filter(({ id }) => !pending.has(id));
   if (prefill.length > targetCount) {
     const candidates = unchanged.filter(({ stage }) => stage === stages.prefill);
@@ -54,7 +54,7 @@
 }
 
 /** At least one engine for each stage if there are two or more engines. */
-export function wantedPrefillCount(engineCount: number, prefillShare: number): number {
+export function targetPrefillCount(engineCount: number, prefillShare: number): number {
   if (engineCount < 2) {
     return 0;
   }
--- a/packages/routing/src/quietWatch.ts
+++ b/packages/routing/src/stallWatch.ts
@@ -5,43 +5,46 @@
 import { createStallDetector } from '@bluebellhitch/decisions';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
-export interface QuietWatchOptions {
+export interface StallWatchOptions {
   /** A run without progress for this long counts as lost; if absent, lack of progress alone does not suffice. */
-  quietMs?: number;
+  stallTimeoutMs?: number;
   /** The same while its server is unresponsive; shorter than the other timeout. */
-  silentServerQuietMs: number;
-  isServerSilent: () => boolean;
+  unresponsiveStallTimeoutMs: number;
+  isServerUnresponsive: () => boolean;
   /** Whether the server has restarted since, so that the run is lost. */
   isServerRestarted: () => boolean;
-  onGone(): void;
+  onLost(): void;
 }
 
-export interface QuietWatch {
+export interface StallWatch {
   noteProgress(): void;
   stop(): void;
 }
 
 const checkIntervalMs = 100;
 
-export function startQuietWatch(options: QuietWatchOptions): QuietWatch {
-  const { quietMs = Infinity, silentServerQuietMs, onGone } = options;
-  const { isServerSilent, isServerRestarted } = options;
+export function startStallWatch(options: StallWatchOptions): StallWatch {
+  const { stallTimeoutMs = Infinity, unresponsiveStallTimeoutMs, onLost } = options;
+  const { isServerUnresponsive, isServerRestarted } = options;
   const detector = createStallDetector({
     startedAtMs: monotonicNowMs(),
-    intervalMs: silentServerQuietMs,
-    firstProgressMs: silentServerQuietMs,
+    intervalMs: unresponsiveStallTimeoutMs,
+    firstProgressMs: unresponsiveStallTimeoutMs,
   });
   let progressCount = 0;
 
   function isStalled(): boolean {
     const verdict = detector.check(monotonicNowMs());
-    return verdict.kind === 'stalled' && (verdict.withoutProgressMs >= quietMs || isServerSilent());
+    return (
+      verdict.kind === 'stalled' &&
+      (verdict.withoutProgressMs >= stallTimeoutMs || isServerUnresponsive())
+    );
   }
 
   const timer = setInterval(() => {
     if (isServerRestarted() || isStalled()) {
       clearInterval(timer);
-      onGone();
+      onLost();
     }
   }, checkIntervalMs);
   return {
--- a/packages/routing/src/streamRelay.ts
+++ b/packages/routing/src/streamRelay.ts
@@ -3,18 +3,18 @@
  * that breaks earlier can still be refused or retried on another server.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
-import type { BackendAnswer } from './backendApi';
-import type { AnswerWriter } from './callerApi';
+import type { BackendResponse } from './backendApi';
+import type { ResponseWriter } from './callerApi';
 import { writeOrPause } from './forwardBody';
 import { createEventSplitter, type StreamEvent } from './eventSplitter';
 import type { RequestState } from './requestState';
-import { drainBody, readWholeBody } from './wholeBody';
+import { drainBody, readWholeBody } from './responseBody';
 
 export type RelayOutcome = { kind: 'whole' } | { kind: 'broken'; detail: string };
 
 export interface StreamRelay {
   /** Relays one run's answer to its end; `onProgress` is called for each chunk received. */
-  relay(answer: BackendAnswer, onProgress: () => void): Promise<RelayOutcome>;
+  relay(answer: BackendResponse, onProgress: () => void): Promise<RelayOutcome>;
   hasBegun(): boolean;
   /** The listener is called once, when the next event arrives. */
   onFirstEvent(listener: () => void): void;
@@ -32,14 +32,14 @@
 
 export function createStreamRelay(state: RequestState): StreamRelay {
   const { exchange } = state;
-  let writer: AnswerWriter | undefined;
+  let writer: ResponseWriter | undefined;
   let onNextEvent: () => void = () => undefined;
   let lastId = state.request.lastEventId;
   let eventCount = state.request.lastEventId ?? 0;
   let firstEventAtMs: number | undefined;
   let lastEventAtMs = 0;
 
-  async function relay(answer: BackendAnswer, onProgress: () => void): Promise<RelayOutcome> {
+  async function relay(answer: BackendResponse, onProgress: () => void): Promise<RelayOutcome> {
     if (!answer.isSealed) {
       await drainBody(answer.body);
       return { kind: 'broken', detail: `unsealed answer ${answer.status}` };
@@ -47,17 +47,17 @@
     return answer.status === okStatus ? relayEvents(answer, onProgress) : relayFailure(answer);
   }
 
-  async function relayFailure(answer: BackendAnswer): Promise<RelayOutcome> {
+  async function relayFailure(answer: BackendResponse): Promise<RelayOutcome> {
     const read = await readWholeBody(answer.body);
     if (read.kind !== 'whole' || writer !== undefined) {
       return { kind: 'broken', detail: `answer ${answer.status}` };
     }
     const { status, headers } = answer;
-    exchange.answer({ status, headers, body: read.body });
+    exchange.respond({ status, headers, body: read.body });
     return { kind: 'whole' };
   }
 
-  function relayEvents(answer: BackendAnswer, onProgress: () => void): Promise<RelayOutcome> {
+  function relayEvents(answer: BackendResponse, onProgress: () => void): Promise<RelayOutcome> {
     const splitter = createEventSplitter();
     return new Promise((resolve) => {
       answer.body.read({
@@ -73,7 +73,7 @@
             resolve({ kind: 'broken', detail: 'ended inside an event' });
             return;
           }
-          writer ??= exchange.begin(answer.status, answer.headers);
+          writer ??= exchange.startResponse(answer.status, answer.headers);
           writer.end();
           resolve({ kind: 'whole' });
         },
@@ -87,10 +87,10 @@
     return id === undefined || lastId === undefined || id > lastId;
   }
 
-  function forward(answer: BackendAnswer, events: readonly StreamEvent[]): void {
+  function forward(answer: BackendResponse, events: readonly StreamEvent[]): void {
     onNextEvent();
     onNextEvent = () => undefined;
-    writer ??= exchange.begin(answer.status, answer.headers);
+    writer ??= exchange.startResponse(answer.status, answer.headers);
     eventCount += events.length;
     lastEventAtMs = monotonicNowMs();
     firstEventAtMs ??= lastEventAtMs;
@@ -108,6 +108,6 @@
     eventCount: () => eventCount,
     eventsDurationMs: () => lastEventAtMs - (firstEventAtMs ?? lastEventAtMs),
     lastEventId: () => lastId,
-    cut: () => writer?.cut(),
+    cut: () => writer?.abort(),
   };
 }
--- a/packages/routing/src/streamRequest.ts
+++ b/packages/routing/src/streamRequest.ts
@@ -6,7 +6,7 @@
 import { notRunReasons, type EngineSettings, type Refusal } from './model';
 import type { PrefillStage } from './prefillStage';
 import { createLostRefusal, noteStep, remainingMs, type RequestState } from './requestState';
-import type { RouterParts } from './routerParts';
+import type { RouterDependencies } from './routerDependencies';
 import { createStreamRelay, type StreamRelay } from './streamRelay';
 import { runStream, type RunOutcome } from './streamRun';
 
@@ -18,7 +18,7 @@
 export async function serveStream(
   state: RequestState,
   engine: EngineSettings,
-  deps: RouterParts,
+  deps: RouterDependencies,
   prefillStage: PrefillStage,
 ): Promise<void> {
   const relay = createStreamRelay(state);
@@ -37,7 +37,7 @@
   return remainingMs(state) > 0 && !state.exchange.signal.aborted;
 }
 
-function mayRetry(state: RequestState, outcome: RunOutcome, deps: RouterParts): boolean {
+function mayRetry(state: RequestState, outcome: RunOutcome, deps: RouterDependencies): boolean {
   switch (outcome.kind) {
     case 'ended':
       return false;
@@ -56,7 +56,7 @@
 function takeAttempt(
   state: RequestState,
   cause: string,
-  { budget, metrics }: RouterParts,
+  { budget, metrics }: RouterDependencies,
 ): boolean {
   const { name } = state.service;
   const isAllowed = budget.tryTake(name, monotonicNowMs());
--- a/packages/routing/src/streamRun.ts
+++ b/packages/routing/src/streamRun.ts
@@ -11,9 +11,9 @@
   type Route,
 } from './model';
 import type { PrefillOutcome, PrefillStage } from './prefillStage';
-import { startQuietWatch, type QuietWatch } from './quietWatch';
+import { startStallWatch, type StallWatch } from './stallWatch';
 import { noteStep, remainingMs, type RequestState } from './requestState';
-import type { RouterParts } from './routerParts';
+import type { RouterDependencies } from './routerDependencies';
 import type { StreamRelay } from './streamRelay';
 
 export type RunOutcome =
@@ -26,7 +26,7 @@
 export interface StreamRun {
   state: RequestState;
   engine: EngineSettings;
-  deps: RouterParts;
+  deps: RouterDependencies;
   prefillStage: PrefillStage;
   relay: StreamRelay;
   size: PromptSize;
@@ -67,7 +67,7 @@
   const { request, route, service } = state;
   const startedAtMs = monotonicNowMs();
   const expectedMs = prefillStage.expectedMs(service.name, size.promptTokens) + startOverheadMs;
-  const stream = deps.streamSizes.expect(route.name, size, relay.eventCount());
+  const stream = deps.streamSizes.estimateStream(route.name, size, relay.eventCount());
   // For a caller that has already received events, the timeout restarts.
   const isResumed = state.sentCount > 0;
   const waitingSinceMs = isResumed ? startedAtMs : request.arrivedAtMs;
@@ -139,7 +139,7 @@
     noteStep(state, 'access no longer granted');
     return notRunReasons.staleConfiguration;
   }
-  if (!deps.words.mayGet(server)) {
+  if (!deps.notices.isAccepting(server)) {
     noteStep(state, `decode ${server.id} withheld`);
     return notRunReasons.rejected;
   }
@@ -180,17 +180,17 @@
   { state, deps }: StreamRun,
   server: BackendServer,
   onStalled: () => void,
-): QuietWatch {
+): StallWatch {
   const { route, sentCount } = state;
   const mayContinue = route.allowsResume && sentCount + 1 < route.maxAttempts;
   const timeoutMs = eventTimeoutMs(route);
-  return startQuietWatch({
-    quietMs: mayContinue ? stallTimeoutShare * timeoutMs : undefined,
-    silentServerQuietMs:
+  return startStallWatch({
+    stallTimeoutMs: mayContinue ? stallTimeoutShare * timeoutMs : undefined,
+    unresponsiveStallTimeoutMs:
       (mayContinue ? unresponsiveTimeoutShare : lastRunUnresponsiveTimeoutShare) * timeoutMs,
-    isServerSilent: () => deps.engineLoads.isUnresponsive(server.id),
+    isServerUnresponsive: () => deps.engineLoads.isUnresponsive(server.id),
     isServerRestarted: () => deps.directory.hasRestarted(server),
-    onGone: onStalled,
+    onLost: onStalled,
   });
 }
 
@@ -198,7 +198,7 @@
   run: StreamRun,
   { reservation, stream }: Placement,
   prefill: PrefillResult | undefined,
-  { signal, watch }: { signal: AbortSignal; watch: QuietWatch },
+  { signal, watch }: { signal: AbortSignal; watch: StallWatch },
 ): Promise<RunOutcome> {
   const { state, deps, relay } = run;
   const { server } = reservation;
@@ -244,7 +244,7 @@
   const events = relay.eventCount();
   const emittedTokens = streamSizes.emittedTokens(events);
   if (emittedTokens > 0) {
-    const { medianOutputTokens } = streamSizes.expect(className, size, 0);
+    const { medianOutputTokens } = streamSizes.estimateStream(className, size, 0);
     metrics.observeLengthForecast(state.service.name, medianOutputTokens / emittedTokens);
   }
   streamSizes.observeEnd({ className, size, events, durationMs: relay.eventsDurationMs() });
--- a/packages/routing/src/streamSizes.ts
+++ b/packages/routing/src/streamSizes.ts
@@ -8,7 +8,7 @@
   createRunningEstimate,
   type ReportedRun,
 } from '@bluebellhitch/decisions';
-import type { StreamOutlook } from '@bluebellhitch/protocol';
+import type { StreamEstimate } from '@bluebellhitch/protocol';
 import type { PromptSize } from './model';
 
 /** A stream that has ended normally. */
@@ -22,7 +22,7 @@
 
 export interface StreamSizes {
   /** Estimate for a stream of this class that has emitted this many events so far. */
-  expect(className: string, size: PromptSize, events: number): StreamOutlook;
+  estimateStream(className: string, size: PromptSize, events: number): StreamEstimate;
   observeEnd(stream: EndedStream): void;
   observeRuns(serverId: string, runs: readonly ReportedRun[]): void;
   forget(serverId: string): void;
@@ -47,11 +47,11 @@
   const deviation = createRunningEstimate({ smoothing, initialMean: initialDeviation });
   const emissionRate = createRunningEstimate({ smoothing, initialMean: initialTokensPerMs });
 
-  const emittedTokens = (events: number) => events * (eventSize.tokens() ?? 0);
+  const emittedTokens = (events: number) => events * (eventSize.tokensPerEvent() ?? 0);
 
   function medianTokens(className: string, size: PromptSize): number {
     const { maxOutputTokens, expectedOutputTokens } = size;
-    const eventTokens = eventSize.tokens();
+    const eventTokens = eventSize.tokensPerEvent();
     const estimate = lengths.estimate(className, expectedOutputTokens);
     if (estimate === undefined || eventTokens === undefined) {
       return Math.min(maxOutputTokens, expectedOutputTokens ?? maxOutputTokens);
@@ -61,7 +61,7 @@
   }
 
   return {
-    expect: (className, size, events) => ({
+    estimateStream: (className, size, events) => ({
       promptTokens: size.promptTokens,
       emittedTokens: emittedTokens(events),
       medianOutputTokens: medianTokens(className, size),
@@ -72,7 +72,7 @@
         eventSize.observe(expectedOutputTokens, events);
       }
       lengths.observe(className, expectedOutputTokens, events);
-      if (durationMs > 0 && eventSize.tokens() !== undefined) {
+      if (durationMs > 0 && eventSize.tokensPerEvent() !== undefined) {
         emissionRate.observe(emittedTokens(events) / durationMs);
       }
     },
