--- a/packages/routing/src/watchPlan.ts
+++ b/packages/routing/src/watchPlan.ts
@@ -3,7 +3,7 @@
  * configuration is current. Keeps large fleets affordable: calls to the platform grow with the number of changes plus
  * the number of shards, not with their product.
  */
-import { chooseFollowers } from '@bluebellhitch/decisions';
+import { chooseRelays } from '@bluebellhitch/decisions';
 import type { Random } from '@bluebellhitch/shared';
 
 export interface WatchPlanOptions {
@@ -18,23 +18,23 @@
 
 export interface WatchPlan {
   /** The routers of this shard that watch the platform and relay its changes. */
-  followers(): readonly string[];
+  relays(): readonly string[];
   /** Whether this router relays changes to others. */
-  isTelling(): boolean;
+  isRelaying(): boolean;
   /** Whether other routers relay changes to this one. */
-  isToldByOthers(): boolean;
+  hasRelays(): boolean;
   /** Duration of the next watch of objects that need no proof. */
   watchWaitMs(): number;
   /** Duration of the next watch of the configuration, if API keys depend on its proof. */
-  provingWaitMs(): number;
+  proofWatchWaitMs(): number;
   /** How long a proof of this age may still be used before this router renews it with a call of its own. */
   proofLeftMs(ageMs: number): number;
   /** Whether a proof of this age is recent enough to run a request with a key. */
   isFresh(ageMs: number): boolean;
   /** Routers to ask for a proof if the current one has this age. */
-  witnesses(ageMs: number): readonly string[];
+  proofSources(ageMs: number): readonly string[];
   /** How long relayed changes count as current. */
-  newsLifetimeMs: number;
+  relayTimeoutMs: number;
 }
 
 /** Share of `contactMs`: a watch of this duration leaves time for a second attempt. */
@@ -66,7 +66,7 @@
   let chosenRelays: readonly string[] = [];
 
   /** Cached for each set of routers, as it is called many times per second. */
-  function followers(): readonly string[] {
+  function relays(): readonly string[] {
     const own = peers();
     if (own === undefined) {
       return [];
@@ -75,18 +75,18 @@
     const key = liveAddresses.join(' ');
     if (key !== chosenForKey || chosenRelays.length === 0) {
       chosenForKey = key;
-      chosenRelays = chooseFollowers({ ownAddress: own.address, liveAddresses });
+      chosenRelays = chooseRelays({ ownAddress: own.address, liveAddresses });
     }
     return chosenRelays;
   }
 
   function isRelay(): boolean {
     const own = peers();
-    return own !== undefined && followers().includes(own.address);
+    return own !== undefined && relays().includes(own.address);
   }
 
   function watchWaitMs(): number {
-    const share = watchShare * Math.max(1, followers().length / staggeredWatches);
+    const share = watchShare * Math.max(1, relays().length / staggeredWatches);
     const spread = minWatchShare + (1 - minWatchShare) * random();
     return Math.min(maxWatchMs, contactMs * share * spread);
   }
@@ -94,20 +94,18 @@
   const isLate = (ageMs: number) => ageMs >= revocationMs * ownProofShare;
 
   return {
-    followers,
-    isTelling: () => isRelay() && followers().length <= (peers()?.livePeers().length ?? 0),
-    isToldByOthers: () => peers() !== undefined && !isRelay(),
+    relays,
+    isRelaying: () => isRelay() && relays().length <= (peers()?.livePeers().length ?? 0),
+    hasRelays: () => peers() !== undefined && !isRelay(),
     watchWaitMs,
-    provingWaitMs: () => Math.min(watchWaitMs(), revocationMs * proofWatchShare),
+    proofWatchWaitMs: () => Math.min(watchWaitMs(), revocationMs * proofWatchShare),
     proofLeftMs: (ageMs) => revocationMs * ownProofShare - ageMs,
     isFresh: (ageMs) => ageMs < revocationMs - proofMarginMs,
-    witnesses(ageMs) {
+    proofSources(ageMs) {
       const live = peers()?.livePeers() ?? [];
-      const sources = isLate(ageMs)
-        ? [...followers(), ...live.slice(0, maxExtraSources)]
-        : followers();
+      const sources = isLate(ageMs) ? [...relays(), ...live.slice(0, maxExtraSources)] : relays();
       return [...new Set(sources)].filter((other) => other !== peers()?.address);
     },
-    newsLifetimeMs: contactMs * watchShare,
+    relayTimeoutMs: contactMs * watchShare,
   };
 }
--- a/packages/routing/src/workspaceAccess.ts
+++ b/packages/routing/src/workspaceAccess.ts
@@ -36,7 +36,7 @@
     return { kind: 'granted' };
   }
   const workspace = credential.kind === 'key' ? table.workspaceOfKey(credential.digest) : undefined;
-  if (route?.needsNoKey) {
+  if (route?.allowsAnonymous) {
     return { kind: 'granted', workspace };
   }
   // Otherwise a revoked key would still be accepted, or a newly issued one refused with a final error.
--- a/packages/shared/__tests__/pauseTolerantTimer.test.ts
+++ b/packages/shared/__tests__/pauseTolerantTimer.test.ts
@@ -1,12 +1,12 @@
 import FakeTimers from '@sinonjs/fake-timers';
 import test from 'ava';
-import { startRunningTimer } from '@bluebellhitch/shared';
+import { startPauseTolerantTimer } from '@bluebellhitch/shared';
 
 test.serial('a timer elapses once, after its timeout', (t) => {
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout'] });
   try {
     let ended = 0;
-    startRunningTimer(400, () => {
+    startPauseTolerantTimer(400, () => {
       ended += 1;
     });
     clock.tick(399);
@@ -21,7 +21,7 @@
 test.serial('a timer that is stopped in a later slice never elapses', (t) => {
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout'] });
   try {
-    const timer = startRunningTimer(400, () => t.fail());
+    const timer = startPauseTolerantTimer(400, () => t.fail());
     clock.tick(320);
     timer.stop();
     clock.tick(2_000);
@@ -34,7 +34,7 @@
 test('a pause of the process counts as one slice', async (t) => {
   const startedAtMs = performance.now();
   const ended = new Promise<number>((resolve) => {
-    startRunningTimer(160, () => resolve(performance.now() - startedAtMs));
+    startPauseTolerantTimer(160, () => resolve(performance.now() - startedAtMs));
   });
   while (performance.now() < startedAtMs + 500);
   t.true((await ended) >= 500 + (160 * 7) / 8 - 10);
--- a/packages/shared/__tests__/pauseTolerantTimerLength.test.ts
+++ b/packages/shared/__tests__/pauseTolerantTimerLength.test.ts
@@ -1,6 +1,6 @@
 import FakeTimers from '@sinonjs/fake-timers';
 import test from 'ava';
-import { startRunningTimer } from '@bluebellhitch/shared';
+import { startPauseTolerantTimer } from '@bluebellhitch/shared';
 
 test('a timer never elapses before its timeout', (t) => {
   // The runtime truncates each slice to whole milliseconds. A caller of a server that hangs would otherwise get a lost
@@ -10,7 +10,7 @@
   [149.9, 15.9, 1.2].forEach((timeoutMs) => {
     const startedAtMs = performance.now();
     let elapsedMs = 0;
-    startRunningTimer(timeoutMs, () => {
+    startPauseTolerantTimer(timeoutMs, () => {
       elapsedMs = performance.now() - startedAtMs;
     });
     clock.tick(1_000);
--- a/packages/shared/__tests__/random.test.ts
+++ b/packages/shared/__tests__/random.test.ts
@@ -1,21 +1,21 @@
 import test from 'ava';
-import { fromAnyPlace } from '@bluebellhitch/shared';
+import { rotateRandomly } from '@bluebellhitch/shared';
 
 test('the rotated list has every item once and starts at the random offset', (t) => {
   t.deepEqual(
-    fromAnyPlace([1, 2, 3], () => 0),
+    rotateRandomly([1, 2, 3], () => 0),
     [1, 2, 3],
   );
   t.deepEqual(
-    fromAnyPlace([1, 2, 3], () => 0.5),
+    rotateRandomly([1, 2, 3], () => 0.5),
     [2, 3, 1],
   );
   t.deepEqual(
-    fromAnyPlace([1, 2, 3], () => 0.999),
+    rotateRandomly([1, 2, 3], () => 0.999),
     [3, 1, 2],
   );
   t.deepEqual(
-    fromAnyPlace([], () => 0.5),
+    rotateRandomly([], () => 0.5),
     [],
   );
 });
--- a/packages/shared/src/finding.ts
+++ b/packages/shared/src/finding.ts
@@ -1,6 +1,6 @@
 /** Findings: problems that are collected with their locations and reported together. */
 
-export interface FindingPlace {
+export interface FindingLocation {
   /** Setting name, or a path such as `classes[0].weight`. */
   path: string;
   /** 1-based line and column in the source text, if there is one. */
@@ -8,7 +8,7 @@
   column?: number;
 }
 
-export interface Finding extends FindingPlace {
+export interface Finding extends FindingLocation {
   message: string;
   /** A suggestion, such as the nearest known field name. */
   hint?: string;
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -8,11 +8,11 @@
   type RefusalOptions,
   type RefusalReason,
 } from './refusal';
-export { formatFinding, formatFindings, type Finding, type FindingPlace } from './finding';
+export { formatFinding, formatFindings, type Finding, type FindingLocation } from './finding';
 export {
   environmentName,
   exitCodes,
-  exitForSettings,
+  exitOnInvalidSettings,
   flagName,
   loadSettingsOrExit,
   resolveSettings,
@@ -22,9 +22,9 @@
   type SettingValues,
 } from './settings';
 export { hash64, hash64Hex, rendezvousOrder } from './hash';
-export { createSeededRandom, fromAnyPlace, type Random } from './random';
+export { createSeededRandom, rotateRandomly, type Random } from './random';
 export { createBackgroundLoop, type BackgroundLoop } from './backgroundLoop';
 export { delay, monotonicNowMs } from './clock';
-export { startRunningTimer, type RunningTimer } from './pauseTolerantTimer';
+export { startPauseTolerantTimer, type PauseTolerantTimer } from './pauseTolerantTimer';
 export { runOnce } from './runOnce';
 export { ageMsOf, earlierBy, readClocks, type ClockReading } from './clockReading';
--- a/packages/shared/src/pauseTolerantTimer.ts
+++ b/packages/shared/src/pauseTolerantTimer.ts
@@ -4,7 +4,7 @@
  * responses that have arrived meanwhile are read, so that ordinary timers would report healthy servers as unresponsive.
  */
 
-export interface RunningTimer {
+export interface PauseTolerantTimer {
   stop(): void;
 }
 
@@ -15,7 +15,10 @@
 const sliceCount = 8;
 
 /** Calls `onElapsed` after `timeoutMs` of running time, unless it is stopped first. */
-export function startRunningTimer(timeoutMs: number, onElapsed: () => void): RunningTimer {
+export function startPauseTolerantTimer(
+  timeoutMs: number,
+  onElapsed: () => void,
+): PauseTolerantTimer {
   // The runtime truncates delays to whole milliseconds, which would end eight slices up to 8 ms early.
   const sliceMs = Math.ceil(timeoutMs / sliceCount);
   let remainingSlices = sliceCount;
--- a/packages/shared/src/random.ts
+++ b/packages/shared/src/random.ts
@@ -12,7 +12,7 @@
 }
 
 /** Rotates the items by a random offset, so that callers that try them in order do not all start with the first. */
-export function fromAnyPlace<Item>(items: readonly Item[], random: Random): Item[] {
+export function rotateRandomly<Item>(items: readonly Item[], random: Random): Item[] {
   const first = Math.floor(random() * items.length);
   return [...items.slice(first), ...items.slice(0, first)];
 }
--- a/packages/shared/src/settings.ts
+++ b/packages/shared/src/settings.ts
@@ -65,13 +65,13 @@
 ): Promise<SettingValues<Definitions>> {
   const settings = await resolveSettings(options);
   if (settings.isErr()) {
-    exitForSettings(options.binaryName, settings.error);
+    exitOnInvalidSettings(options.binaryName, settings.error);
   }
   return settings.value;
 }
 
 /** Prints findings about settings and exits with code 2. */
-export function exitForSettings(binaryName: string, findings: readonly Finding[]): never {
+export function exitOnInvalidSettings(binaryName: string, findings: readonly Finding[]): never {
   process.stderr.write(`${binaryName}: invalid settings\n`);
   process.stderr.write(`${formatFindings(findings)}\n`);
   process.exit(exitCodes.invalidSettings);
--- a/packages/soak/src/backendServers.ts
+++ b/packages/soak/src/backendServers.ts
@@ -4,7 +4,7 @@
  */
 import {
   startStandinWorker,
-  type RunScript,
+  type RunBehaviour,
   type StandinStore,
   type StandinWorker,
 } from '@bluebellhitch/platform-standins';
@@ -31,7 +31,7 @@
 }
 
 export interface ServerErrors {
-  run: RunScript;
+  run: RunBehaviour;
   share: number;
 }
 
@@ -138,7 +138,7 @@
     list(place);
   }
 
-  function chooseRun({ errors }: Place): RunScript {
+  function chooseRun({ errors }: Place): RunBehaviour {
     return errors !== undefined && random() < errors.share ? errors.run : { kind: 'whole' };
   }
 
@@ -210,7 +210,7 @@
       isPlanned: true,
     });
     await startAt(place);
-    old.worker.leavingWord = '1';
+    old.worker.leavingNotice = '1';
     old.worker.reportedState = { state: 'draining' };
     options.onLeaving(id);
     await delay(unlistedMs);
@@ -239,13 +239,13 @@
     nameLimit(index, requestsPerSecond) {
       const worker = places[index]?.current?.worker;
       if (worker !== undefined) {
-        worker.namedLimit = requestsPerSecond?.toFixed(1);
+        worker.limitNotice = requestsPerSecond?.toFixed(1);
       }
     },
     askForRest(index, restMs) {
       const worker = places[index]?.current?.worker;
       if (worker !== undefined) {
-        worker.restWord = restMs === undefined ? undefined : String(restMs / msPerSecond);
+        worker.backoffNotice = restMs === undefined ? undefined : String(restMs / msPerSecond);
       }
     },
     serverId: (index) => places[index]?.current?.worker.id ?? '',
--- a/packages/soak/src/callers.ts
+++ b/packages/soak/src/callers.ts
@@ -3,7 +3,7 @@
  * then goes where the balancer sends it. A caller never sends a request again.
  */
 import { Agent } from 'node:http';
-import { callRouter, type CallEnd } from '@bluebellhitch/platform-standins';
+import { callRouter, type CallOutcome } from '@bluebellhitch/platform-standins';
 import { routeKinds, type Route } from '@bluebellhitch/routing';
 import {
   createBackgroundLoop,
@@ -136,16 +136,20 @@
   };
 }
 
-function keepsConnection(end: CallEnd): boolean {
-  return end.kind === 'answered' && end.answer.isWhole && end.answer.headers.connection !== 'close';
+function keepsConnection(end: CallOutcome): boolean {
+  return (
+    end.kind === 'answered' &&
+    end.response.isComplete &&
+    end.response.headers.connection !== 'close'
+  );
 }
 
-function requestEndOf(end: CallEnd): RequestEnd {
+function requestEndOf(end: CallOutcome): RequestEnd {
   if (end.kind === 'no-answer') {
     return end;
   }
-  const { status, body, isSealed, isWhole, headers } = end.answer;
-  if (!isWhole) {
+  const { status, body, isSealed, isComplete, headers } = end.response;
+  if (!isComplete) {
     return { kind: 'broken', status, body };
   }
   if (isSealed) {
--- a/packages/soak/src/script.ts
+++ b/packages/soak/src/script.ts
@@ -1,5 +1,5 @@
 /** Seeded scripts: which fault or planned work strikes what, and when. The same seed makes the same script. */
-import type { RunScript, StoreFault } from '@bluebellhitch/platform-standins';
+import type { RunBehaviour, StoreFault } from '@bluebellhitch/platform-standins';
 import { createSeededRandom, type Random } from '@bluebellhitch/shared';
 import type { LinkFault } from './loopbackProxy';
 
@@ -21,7 +21,7 @@
   | { kind: 'rest-server'; server: number; restMs: number; forMs: number }
   | { kind: 'server-link'; server: number; link: LinkFault; forMs: number }
   | { kind: 'server-reset'; server: number }
-  | { kind: 'server-errors'; server: number; run: RunScript; share: number; forMs: number }
+  | { kind: 'server-errors'; server: number; run: RunBehaviour; share: number; forMs: number }
   | { kind: 'limit-server'; server: number; requestsPerSecond: number; forMs: number }
   | { kind: 'change-configuration'; change: ConfigurationChange }
   | { kind: 'burst'; factor: number; forMs: number };
@@ -194,8 +194,8 @@
   );
 }
 
-function serverError(random: Random): RunScript {
-  return pick<RunScript>(
+function serverError(random: Random): RunBehaviour {
+  return pick<RunBehaviour>(
     [
       { kind: 'status', status: 500 },
       { kind: 'rejected' },
--- a/packages/soak/src/storeCopies.ts
+++ b/packages/soak/src/storeCopies.ts
@@ -1,5 +1,5 @@
 /** Copies of the store, taken all along, from which it may come back. */
-import type { StandinStore, StoreCopy } from '@bluebellhitch/platform-standins';
+import type { StandinStore, StoreBackup } from '@bluebellhitch/platform-standins';
 import {
   createBackgroundLoop,
   delay,
@@ -9,20 +9,20 @@
 
 export interface StoreCopies extends BackgroundLoop {
   /** The one nearest to this age. */
-  atAge(ageMs: number): StoreCopy;
+  atAge(ageMs: number): StoreBackup;
 }
 
 const intervalMs = 250;
 const keptMs = 20_000;
 
 export function createStoreCopies(store: StandinStore): StoreCopies {
-  let copies: { atMs: number; copy: StoreCopy }[] = [];
+  let copies: { atMs: number; copy: StoreBackup }[] = [];
 
   function take(): void {
     const nowMs = monotonicNowMs();
     copies = [
       ...copies.filter(({ atMs }) => atMs > nowMs - keptMs),
-      { atMs: nowMs, copy: store.copy() },
+      { atMs: nowMs, copy: store.createBackup() },
     ];
   }
 
@@ -39,7 +39,7 @@
       const [nearest] = [...copies].sort(
         (left, right) => Math.abs(left.atMs - wantedMs) - Math.abs(right.atMs - wantedMs),
       );
-      return nearest?.copy ?? store.copy();
+      return nearest?.copy ?? store.createBackup();
     },
   };
 }
--- a/packages/telemetry/__tests__/metrics.test.ts
+++ b/packages/telemetry/__tests__/metrics.test.ts
@@ -10,7 +10,7 @@
 
 test('an entry counts requests and observes phases by service, institution and class', async (t) => {
   const metrics = createEntryMetrics();
-  metrics.describeService(service);
+  metrics.addServiceLabels(service);
   metrics.countRequest(labels, 'completed');
   metrics.observePhase('firstToken', labels, 310);
   metrics.countWastedPrefillTokens('caller-gone', 420);
@@ -33,7 +33,7 @@
   // A caller that sends a new class with each request would otherwise add a time series each time, and the
   // entry's memory and every scrape would grow until the process is restarted.
   const metrics = createEntryMetrics();
-  metrics.describeService(service);
+  metrics.addServiceLabels(service);
   Array.from({ length: 50 }, (_, index) => `made-up-${index}`).forEach((madeUp) => {
     metrics.countRequest({ ...labels, className: madeUp }, 'completed');
     metrics.countRequest({ ...labels, service: madeUp, institution: madeUp }, 'refused');
@@ -47,9 +47,9 @@
 
 test('a removed service is no longer exported in the generations', async (t) => {
   const metrics = createEntryMetrics();
-  metrics.describeService(service);
+  metrics.addServiceLabels(service);
   metrics.setConfigurationGeneration('draft-models', 3);
-  metrics.forgetService('draft-models');
+  metrics.removeServiceLabels('draft-models');
 
   t.false((await metrics.render()).includes('draft-models'));
 });
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -32,8 +32,8 @@
 /** Metrics that entries and agents share. */
 export interface CommonMetrics extends RenderedMetrics {
   /** Adds a document's service, institution and classes to the permitted label values. */
-  describeService(service: LabelledService): void;
-  forgetService(serviceName: string): void;
+  addServiceLabels(service: LabelledService): void;
+  removeServiceLabels(serviceName: string): void;
   observePhase(phase: RequestPhase, labels: RequestLabels, durationMs: number): void;
   countPrefillTokens(tokenCount: number): void;
   countWastedPrefillTokens(cause: WastedPrefillCause, tokenCount: number): void;
@@ -204,8 +204,8 @@
   const common: CommonMetrics = {
     contentType: registry.contentType,
     render: () => registry.metrics(),
-    describeService: labels.add,
-    forgetService(serviceName) {
+    addServiceLabels: labels.add,
+    removeServiceLabels(serviceName) {
       generations.remove({ service: serviceName });
       labels.remove(serviceName);
     },
