--- a/packages/duties/__tests__/acceptor.test.ts
+++ b/packages/duties/__tests__/acceptor.test.ts
@@ -30,8 +30,8 @@
   },
 );
 
-// The operator saves a document with two mistakes. Every process must keep what is in force, and the
-// status must name both mistakes with their lines, so that the operator mends them in one go.
+// A document with two mistakes must not replace the document in force, and the status must report both mistakes with
+// their lines, so that the operator can fix them in one edit.
 test.serial('an invalid edit leaves the last accepted document in force', async (t) => {
   const fixture = createAcceptorFixture();
   fixture.startAcceptor(1);
@@ -52,10 +52,10 @@
   await fixture.close();
 });
 
-// The platform applies the acceptor's write, but the answer never comes. Writing again blindly would
-// either fail for ever on the old version or count one edit as two generations.
+// The response to the acceptor's write is lost. Repeating the write without reading first would either fail forever on
+// the old version or turn one edit into two generations.
 for (const effect of ['applied', 'dropped', 'late'] as const) {
-  test.serial(`a lost answer (${effect}) makes exactly one generation of an edit`, async (t) => {
+  test.serial(`a lost response (${effect}) makes exactly one generation of an edit`, async (t) => {
     const fixture = createAcceptorFixture();
     fixture.startAcceptor(1);
     await fixture.edit(service, valid);
@@ -82,9 +82,9 @@
   });
 }
 
-// The holder reads the first edit and is paused. A second acceptor takes over and accepts the second
-// edit. When the first one wakes up, it still believes in its lease and finishes its write: the older
-// text must not replace the newer one.
+// An acceptor reads the first edit and is paused. A second acceptor takes over and accepts the second edit. When the
+// first one resumes, it still considers its lease valid and completes its write: the older text must not replace the
+// newer one.
 test.serial('a paused acceptor does not bring back an older edit', async (t) => {
   const fixture = createAcceptorFixture();
   await fixture.edit(service, valid);
@@ -109,10 +109,10 @@
   await fixture.close();
 });
 
-// An operator removes a document by mistake and writes it anew. Were the service cut off or the count
-// begun again, processes that have seen the higher generation would ignore every later edit.
+// An operator removes a document by mistake and creates it again. The service must not be cut off meanwhile, and if
+// generations restarted, processes that have seen the higher generation would ignore every later edit.
 test.serial(
-  'a removed document stays in force, and its successor continues the count',
+  'a removed document stays in force, and its successor continues the generations',
   async (t) => {
     const fixture = createAcceptorFixture();
     fixture.startAcceptor(1);
@@ -132,7 +132,7 @@
   },
 );
 
-test.serial('the count continues after somebody removed the accepted object itself', async (t) => {
+test.serial('generations continue after the accepted object itself was removed', async (t) => {
   const fixture = createAcceptorFixture();
   fixture.startAcceptor(1);
   await fixture.edit(service, valid);
@@ -160,8 +160,8 @@
   await fixture.close();
 });
 
-// Two teams claim the same host. The first accepted one keeps it; the second is told whose it is and
-// comes into force by itself as soon as the first lets go.
+// Two services claim the same host. The one accepted first keeps it. The status of the other names that service, and
+// its document is accepted without another edit as soon as the first gives the host up.
 test.serial(
   'a route belongs to one service, and a blocked edit is accepted when it is free',
   async (t) => {
--- a/packages/duties/__tests__/acceptorRace.test.ts
+++ b/packages/duties/__tests__/acceptorRace.test.ts
@@ -62,10 +62,9 @@
   { weight: 1, arbitrary: fc.constant({ kind: 'compact' as const }) },
 );
 
-// Operators race with edits while two acceptors both believe that they hold the lease, the platform
-// loses answers and goes away. Every process applies what is accepted, so a generation that goes down
-// or comes twice, or a text that does not validate, would put different things in force in different
-// places.
+// Operators edit documents while both acceptors consider their lease valid and the platform loses responses and has
+// outages. Every process applies what is accepted, so a generation that decreases or is used twice, or an invalid
+// document, would put different configurations in force in different processes.
 test.serial(
   'racing acceptors: generations rise by one and every accepted document is valid',
   async (t) => {
@@ -136,7 +135,7 @@
   }
 }
 
-/** The operator's own calls may meet the faults; what becomes of them is not under test. */
+/** The operator's own calls may fail because of the injected faults; their result is not under test. */
 async function operatorCall(fixture: AcceptorFixture, call: () => Promise<unknown>): Promise<void> {
   fixture.platform.control.setOutage(false);
   await call().catch(() => undefined);
@@ -162,7 +161,7 @@
   own.forEach((accepted, index) => {
     const previous = own[index - 1];
     const step = accepted.generation - (previous?.generation ?? 0);
-    // A compaction hides some of the values from the test.
+    // After a compaction the test has not seen all values.
     if (complete ? step !== 1 : step < 1) {
       throw new Error(
         `${service}: generation ${accepted.generation} after ${previous?.generation}`,
--- a/packages/duties/__tests__/helpers/acceptorFixture.ts
+++ b/packages/duties/__tests__/helpers/acceptorFixture.ts
@@ -1,4 +1,4 @@
-/** Acceptors over the stand-in platform, with leases that the test gives and takes. */
+/** Acceptors over the stand-in platform, with leases that the test grants and revokes. */
 import FakeTimers from '@sinonjs/fake-timers';
 import {
   acceptedDocumentSchema,
@@ -55,7 +55,7 @@
     return running;
   }
 
-  /** Writes the document whatever is there, as an operator does. */
+  /** Creates or overwrites the document, as an operator does. */
   async function edit(service: string, text: string): Promise<number> {
     const current = await settle(platform.get(objectKinds.document, service));
     const value = { text, format: 'yaml' };
@@ -112,13 +112,13 @@
   ].join('\n');
 }
 
-/** Every value that the `accepted` objects took since the last call. */
+/** Records every value of the `accepted` objects. */
 export function createAcceptedHistory(platform: StandinPlatform) {
   const history: StoredObject[] = [];
   let cursor = '0';
   return {
     history,
-    /** Repeats itself where a fault of the platform meets this call. */
+    /** Adds the values since the last call; repeats the call if the platform's faults make it fail. */
     async collect(): Promise<void> {
       const reply = await platform.watch(objectKinds.accepted, cursor, 0);
       if (reply.isErr()) {
--- a/packages/duties/__tests__/helpers/settle.ts
+++ b/packages/duties/__tests__/helpers/settle.ts
@@ -1,14 +1,14 @@
-/** Advances paused time until a call of the test itself is answered. */
+/** Advances the fake clock until a call made by the test itself completes. */
 import type { Clock } from '@sinonjs/fake-timers';
 
 export async function settle<Value>(clock: Clock, call: PromiseLike<Value>): Promise<Value> {
-  let answered = false;
-  const answer = Promise.resolve(call).finally(() => {
-    answered = true;
+  let isCompleted = false;
+  const result = Promise.resolve(call).finally(() => {
+    isCompleted = true;
   });
-  answer.catch(() => undefined);
-  while (!answered) {
+  result.catch(() => undefined);
+  while (!isCompleted) {
     await clock.tickAsync(1);
   }
-  return answer;
+  return result;
 }
--- a/packages/duties/__tests__/helpers/workerFleet.ts
+++ b/packages/duties/__tests__/helpers/workerFleet.ts
@@ -1,4 +1,4 @@
-/** In-memory agents that run one order at a time and check its fencing number as real ones do. */
+/** In-memory agents that run one order at a time and check its fencing number, as real agents do. */
 import { errAsync, okAsync, ResultAsync } from 'neverthrow';
 import type { PlatformApi, PlatformInstance } from '@bluebellhitch/objects';
 import type { EngineOrder, OrderReply, OrderRequest, WorkerRole } from '@bluebellhitch/protocol';
@@ -18,11 +18,11 @@
   models: { model: string; version: string }[];
   queue: Promise<unknown>;
   outOfService: boolean;
-  /** What becomes of loads on this worker. */
+  /** Result of loads on this worker: success, a reported failure, or a reported success without effect. */
   loads: 'work' | 'fail' | 'vanish';
 }
 
-/** An order as it took effect, and the lease's number at that moment. */
+/** An order that took effect, and the lease's fencing number at that moment. */
 export interface AppliedOrder {
   request: OrderRequest;
   currentNumber: number;
@@ -35,8 +35,8 @@
   const unlisted = new Set<string>();
   const received: OrderRequest[] = [];
   const applied: AppliedOrder[] = [];
-  let highestOut = 0;
-  let highestLoads = 0;
+  let maxOutOfService = 0;
+  let maxLoads = 0;
   let loads = 0;
 
   function find(address: string): FleetWorker | undefined {
@@ -59,21 +59,24 @@
       return { kind: 'stale', highestFencingNumber: current };
     }
     applied.push({ request, currentNumber: current });
-    await carryOut(worker, request.order);
+    await applyOrder(worker, request.order);
     return worker.loads === 'fail' && request.order.kind === 'load-model'
       ? { kind: 'failed', detail: 'no such weights', effect: 'none' }
       : { kind: 'done' };
   }
 
-  async function carryOut(worker: FleetWorker, order: EngineOrder): Promise<void> {
+  async function applyOrder(worker: FleetWorker, order: EngineOrder): Promise<void> {
     if (order.kind === 'set-role') {
       worker.role = order.role;
     }
     if (order.kind === 'load-model') {
       worker.outOfService = true;
       loads += 1;
-      highestLoads = Math.max(highestLoads, loads);
-      highestOut = Math.max(highestOut, workers.filter(({ outOfService }) => outOfService).length);
+      maxLoads = Math.max(maxLoads, loads);
+      maxOutOfService = Math.max(
+        maxOutOfService,
+        workers.filter(({ outOfService }) => outOfService).length,
+      );
       await delay(loadMs);
       if (worker.loads === 'work') {
         worker.models = [{ model: order.model, version: order.version }];
@@ -89,18 +92,18 @@
     return turn;
   }
 
-  /** One holder's connection to the fleet; a paused or dead holder is cut off by the test. */
-  function connect(isCut: () => boolean): OrderAgentClient {
+  /** One holder's connection to the fleet, which the test can cut, as for a paused or crashed holder. */
+  function connect(isDisconnected: () => boolean): OrderAgentClient {
     const unreachable = () => errAsync({ kind: 'no-answer' as const, detail: 'cut off' });
     return {
       workerState: (address) => {
         const worker = find(address);
-        return worker === undefined || isCut() ? unreachable() : okAsync(stateOf(worker));
+        return worker === undefined || isDisconnected() ? unreachable() : okAsync(stateOf(worker));
       },
       load: unreachable,
       order: (address, request, timeoutMs) => {
         const worker = find(address);
-        if (worker === undefined || isCut()) {
+        if (worker === undefined || isDisconnected()) {
           return unreachable();
         }
         received.push(request);
@@ -118,11 +121,11 @@
     received,
     applied,
     connect,
-    /** Ids that the list of instances does not show. */
+    /** Ids that are missing from the list of instances. */
     unlisted,
     instances: () => workers.map(({ instance }) => instance).filter(({ id }) => !unlisted.has(id)),
-    highestOut: () => highestOut,
-    highestLoads: () => highestLoads,
+    maxOutOfService: () => maxOutOfService,
+    maxLoads: () => maxLoads,
     countAt: (version: string) =>
       workers.filter(({ models }) => models[0]?.version === version).length,
   };
--- a/packages/duties/__tests__/orderAgentClient.test.ts
+++ b/packages/duties/__tests__/orderAgentClient.test.ts
@@ -47,13 +47,13 @@
   t.deepEqual((await client.order(address, request, 1000))._unsafeUnwrap(), { kind: 'done' });
 });
 
-// An engine that hangs in a load, and an agent that is gone: the holder learns that it knows nothing,
-// and must not take either for "did not run".
-test('an order without an answer in time is reported as such', async (t) => {
+// An engine that hangs in a load and an unreachable agent must both be reported as an unknown outcome: the holder must
+// not conclude that the order did not run.
+test('an order without a response in time is reported as such', async (t) => {
   const address = await startAgent(t, { order: () => new Promise(() => {}) });
   const client = createOrderAgentClient();
   const late = await client.order(address, request, 50);
   t.is(late._unsafeUnwrapErr().kind, 'no-answer');
-  const gone = await client.workerState('http://127.0.0.1:9');
-  t.is(gone._unsafeUnwrapErr().kind, 'no-answer');
+  const unreachable = await client.workerState('http://127.0.0.1:9');
+  t.is(unreachable._unsafeUnwrapErr().kind, 'no-answer');
 });
--- a/packages/duties/__tests__/orderHolder.test.ts
+++ b/packages/duties/__tests__/orderReconciler.test.ts
@@ -4,7 +4,7 @@
 import { createDutyLease } from '@bluebellhitch/objects';
 import { createSeededRandom } from '@bluebellhitch/shared';
 import { createStandinPlatform } from '@bluebellhitch/standins';
-import { createOrderHolder } from '../src/orderHolder';
+import { createOrderReconciler } from '../src/orderReconciler';
 import { orderLeaseKey } from '../src/orderSender';
 import { settle } from './helpers/settle';
 import { createWorkerFleet } from './helpers/workerFleet';
@@ -31,35 +31,38 @@
   const fleet = createWorkerFleet({ platform, service, workerCount, loadMs });
   let accepted = acceptedDocument('1');
 
-  function startHolder(holderId: string) {
+  function startReconciler(holderId: string) {
     const stopping = new AbortController();
-    let cut = false;
+    let isDisconnected = false;
     const random = createSeededRandom(3);
     const key = orderLeaseKey(service);
     const times = { ttlMs: 6000, marginMs: 1500, renewMs: 1500, contendMs: 3000 };
     const lease = createDutyLease({
-      platform: { ...platform, update: (...call) => (cut ? hang() : platform.update(...call)) },
+      platform: {
+        ...platform,
+        update: (...call) => (isDisconnected ? hang() : platform.update(...call)),
+      },
       key,
       holderId,
       random,
       ...times,
     });
-    const holder = createOrderHolder({
+    const reconciler = createOrderReconciler({
       service,
       holderId,
       lease,
-      agentClient: fleet.connect(() => cut),
+      agentClient: fleet.connect(() => isDisconnected),
       document: () => accepted,
       instances: fleet.instances,
       rank: () => 0,
       random,
     });
-    const ended = holder.run(stopping.signal);
+    const ended = reconciler.run(stopping.signal);
     return {
       lease,
-      /** Nothing that it sends arrives any more, as when its process died. */
-      die: () => {
-        cut = true;
+      /** Disconnects it, as when its process crashes: nothing that it sends arrives any more. */
+      crash: () => {
+        isDisconnected = true;
         stopping.abort();
       },
       stop: async () => {
@@ -73,72 +76,72 @@
   return {
     platform,
     fleet,
-    startHolder,
+    startReconciler,
     accept: (version: string, rollout?: object) => {
       accepted = acceptedDocument(version, rollout);
     },
   };
 }
 
-/** A call that is never answered. */
+/** A call that never completes. */
 function hang<Value>(): Value {
   return new Promise(() => {}) as Value;
 }
 
 test.afterEach.always(() => clock.uninstall());
 
-test.serial('a rollout reaches every worker within its share and the bound of loads', async (t) => {
-  const { fleet, startHolder, accept, platform } = createFixture();
-  const holder = startHolder('entry-1');
+test.serial('a rollout reaches every worker within its share and the limit of loads', async (t) => {
+  const { fleet, startReconciler, accept, platform } = createFixture();
+  const reconciler = startReconciler('entry-1');
   await clock.tickAsync(20_000);
   t.is(platform.control.stats().calls.update + platform.control.stats().calls.create, 0);
   accept('2');
   await clock.tickAsync(60_000);
   t.is(fleet.countAt('2'), 13);
-  t.true(fleet.highestOut() <= 3);
-  t.is(fleet.highestLoads(), 2);
+  t.true(fleet.maxOutOfService() <= 3);
+  t.is(fleet.maxLoads(), 2);
   await clock.tickAsync(60_000);
-  t.is(holder.lease.heldFencing(), undefined, 'a service at rest holds no lease');
-  await holder.stop();
+  t.is(reconciler.lease.heldFencing(), undefined, 'an idle service holds no lease');
+  await reconciler.stop();
 });
 
-// The holder dies with two workers loading. Its successor sees them report the old version, as if they
-// were serving, and two others that the list did not show before. Ordering those right away would take
-// twice the share out of service.
+// The holder crashes while two workers are loading. To its successor they report the old version, as if they were
+// serving, and two further workers have appeared in the list. Ordering those at once would take twice the share out of
+// service.
 test.serial(
-  'a successor continues a rollout and counts what still loads for the dead holder',
+  'a successor continues a rollout and counts what is still loading for the crashed holder',
   async (t) => {
-    const { fleet, startHolder, accept } = createFixture(13, 20_000);
+    const { fleet, startReconciler, accept } = createFixture(13, 20_000);
     fleet.workers.slice(0, 2).forEach((worker) => {
       worker.models = [];
     });
     ['worker-0', 'worker-1'].forEach((id) => fleet.unlisted.add(id));
-    const first = startHolder('entry-1');
+    const first = startReconciler('entry-1');
     accept('2', { maxUnavailableShare: 0.2 });
     await clock.tickAsync(7000);
     const before = fleet.countAt('2');
     t.true(before < 13 && fleet.applied.length > 0);
-    first.die();
+    first.crash();
     fleet.unlisted.clear();
-    const second = startHolder('entry-2');
+    const second = startReconciler('entry-2');
     await clock.tickAsync(300_000);
     t.is(fleet.countAt('2'), 13);
-    t.true(fleet.highestOut() <= 2, `${fleet.highestOut()} out of service`);
+    t.true(fleet.maxOutOfService() <= 2, `${fleet.maxOutOfService()} out of service`);
     await second.stop();
   },
 );
 
-// The holder's process is paused, with orders planned, for longer than its lease. Another one takes
-// over. When the first one wakes up, it must not order anything under its old number.
+// The holder is paused after planning orders, for longer than its lease, and another one takes over. When the first one
+// resumes, it must not send any order under its old fencing number.
 test.serial(
   'a holder that was paused past its lease orders nothing under its old number',
   async (t) => {
-    const { fleet, startHolder, accept, platform } = createFixture();
+    const { fleet, startReconciler: startHolder, accept, platform } = createFixture();
     const paused = startHolder('entry-1');
     accept('2');
     await clock.tickAsync(3000);
     t.is(paused.lease.heldFencing()?.fencingNumber, 1);
-    // Time passes without any of its timers running.
+    // Time passes without any of its timers firing.
     clock.setSystemTime(Date.now());
     const stored = await settle(clock, platform.get('lease', orderLeaseKey(service)));
     const taken = {
@@ -153,7 +156,7 @@
       platform.update('lease', orderLeaseKey(service), stored._unsafeUnwrap().version, taken),
     );
     const receivedBefore = fleet.received.length;
-    // Time passes without any of its timers running.
+    // Time passes without any of its timers firing.
     clock.jump(10_000);
     await clock.tickAsync(15_000);
     t.is(paused.lease.heldFencing(), undefined);
@@ -162,23 +165,22 @@
   },
 );
 
-// One worker's disk is full, or its engine says "done" and loads nothing. The rollout takes one worker
-// at a time; were the broken one tried again first each time, no other would ever get its turn.
+// One worker fails every load, for example because its disk is full, or reports "done" without loading anything. The
+// rollout takes one worker at a time: if the broken one were always retried first, no other worker would be updated.
 const brokenWorker = test.macro({
-  title: (_, loads: 'fail' | 'vanish') =>
-    `a worker whose loads ${loads} does not hold up the others`,
+  title: (_, loads: 'fail' | 'vanish') => `a worker whose loads ${loads} does not delay the others`,
   exec: async (t, loads: 'fail' | 'vanish') => {
-    const { fleet, startHolder, accept } = createFixture(6);
+    const { fleet, startReconciler: startHolder, accept } = createFixture(6);
     fleet.workers.slice(0, 1).forEach((worker) => {
       worker.loads = loads;
     });
-    const holder = startHolder('entry-1');
+    const reconciler = startHolder('entry-1');
     accept('2');
     await clock.tickAsync(90_000);
     t.is(fleet.countAt('2'), 5);
     const tries = fleet.received.filter(({ order }) => order.kind === 'load-model').length - 5;
     t.true(tries >= 2 && tries < 10, `${tries} tries`);
-    await holder.stop();
+    await reconciler.stop();
   },
 });
 test.serial(brokenWorker, 'fail');
--- a/packages/duties/__tests__/planOrders.test.ts
+++ b/packages/duties/__tests__/planOrders.test.ts
@@ -85,7 +85,7 @@
   );
 });
 
-test('adapters follow their model, and surplus ones go', (t) => {
+test('adapters are loaded after their model, and surplus ones are unloaded', (t) => {
   const loaded = worker(0, {}, '2');
   const surplus = worker(1, {}, '2');
   surplus.state?.adapters.push(
@@ -109,7 +109,7 @@
   const plan = planOrders({
     document,
     workers: ready,
-    wantedPrefillWorkers: 2,
+    targetPrefillWorkers: 2,
     maxConcurrentLoads: 1,
   });
   t.deepEqual(
@@ -119,19 +119,19 @@
   const all = planOrders({
     document,
     workers: ready,
-    wantedPrefillWorkers: 9,
+    targetPrefillWorkers: 9,
     maxConcurrentLoads: 1,
   });
   t.is(all.orders.length, 5);
 });
 
-// Whatever state a service is in, orders that take serving workers away must leave the share that the
-// document promises, counted with those that are away for other reasons.
+// In every state of a service, orders that take serving workers out of service must keep to the share that the document
+// allows, including workers that are out for other reasons.
 test('no state of the workers makes a plan that exceeds the share', (t) => {
   const view = fc.record({
     version: fc.constantFrom('', '1', '2'),
     role: fc.constantFrom('prefill' as const, 'decode' as const, 'both' as const),
-    answers: fc.boolean(),
+    responds: fc.boolean(),
     leaving: fc.boolean(),
     busy: fc.boolean(),
   });
@@ -139,16 +139,16 @@
     fc.array(view, { minLength: 1, maxLength: 30 }),
     fc.double({ min: 0.05, max: 1, noNaN: true }),
     fc.nat(10),
-    (views, maxUnavailableShare, wantedPrefillWorkers) => {
+    (views, maxUnavailableShare, targetPrefillWorkers) => {
       const document = modelDocument({ maxUnavailableShare });
-      const all = views.map(({ version, role, answers, leaving, busy }, index) => {
+      const all = views.map(({ version, role, responds, leaving, busy }, index) => {
         const one = worker(index, { leaving, busy }, version);
-        return { ...one, state: answers && one.state ? { ...one.state, role } : undefined };
+        return { ...one, state: responds && one.state ? { ...one.state, role } : undefined };
       });
       const { orders } = planOrders({
         document,
         workers: all,
-        wantedPrefillWorkers,
+        targetPrefillWorkers,
         maxConcurrentLoads: 3,
       });
       const ordered = new Set(orders.map(({ instanceId }) => instanceId));
--- a/packages/duties/__tests__/roleBalance.test.ts
+++ b/packages/duties/__tests__/roleBalance.test.ts
@@ -13,18 +13,18 @@
   return { role, queueWaitMs, stepMs, leaving: false, ...counts };
 }
 
-/** Feeds one pressure every 10 s and tells the wanted count after each. */
+/** Passes one pressure every 10 s and returns the target number of prefill workers after each. */
 function observe(pressures: PoolPressure[], prefillCount = 2, workerCount = 8): number[] {
   let state: RoleBalanceState = {};
   return pressures.map((pressure, index) => {
     const nowMs = index * 10_000;
     const balance = balanceRoles({ pressure, prefillCount, workerCount, state, nowMs });
     state = balance.state;
-    return balance.wantedPrefillWorkers;
+    return balance.targetPrefillWorkers;
   });
 }
 
-test('pressure is waiting as a share of the target, and slow steps count on the decode side', (t) => {
+test('pressure is the waiting time as a share of the target; slow steps count in the decode pool', (t) => {
   const loads = [hint('prefill', 300), hint('prefill', 900), hint('decode', 60, 42)];
   t.deepEqual(measurePressure(loads, targets), { prefill: 1, decode: 0.5 });
   t.is(measurePressure([hint('decode', 60)], targets), undefined);
@@ -42,7 +42,7 @@
   t.true(observe(overload).every((wanted) => wanted === 2));
 });
 
-test('neither pool is emptied', (t) => {
+test('neither pool becomes empty', (t) => {
   const decodePressed = Array.from({ length: 60 }, () => ({ prefill: 0, decode: 2 }));
   t.is(observe(decodePressed).at(-1), 1);
   const prefillPressed = Array.from({ length: 60 }, () => ({ prefill: 2, decode: 0 }));
--- a/packages/duties/__tests__/startDuties.test.ts
+++ b/packages/duties/__tests__/startDuties.test.ts
@@ -25,10 +25,10 @@
   const fleet = createWorkerFleet({ platform, service: 'draft-models', workerCount: 1 });
   const entries = Array.from({ length: entryCount }, (_, index) => entry(index));
   const present: PlatformInstance[] = [...entries];
-  const dead = new Set<string>();
+  const crashed = new Set<string>();
   const duties = entries.map(({ id }, index) =>
     startDuties({
-      platform: mortal(platform, () => dead.has(id)),
+      platform: withCrashes(platform, () => crashed.has(id)),
       holderId: id,
       instances: () => [...present, ...fleet.instances()],
       documents: () => [],
@@ -41,7 +41,7 @@
     await clock.tickAsync(20_000);
     await stopped;
   };
-  return { platform, present, dead, duties, stopAll };
+  return { platform, present, crashed, duties, stopAll };
 }
 
 test.serial(
@@ -74,21 +74,21 @@
   },
 );
 
-// The holder's process dies without a word, and the list of instances still shows it. An operator saves
-// an edit just then. Nobody may wait for the list: the two others take the lease when it has lapsed.
-test.serial('an edit is accepted within five seconds of the death of the holder', async (t) => {
-  const { platform, dead } = createFixture(5);
+// The holder crashes without releasing its lease, stays in the list of instances, and an operator saves an edit. The
+// other two competitors must take over when the lease has expired, without waiting for the list.
+test.serial('an edit is accepted within five seconds of a crash of the holder', async (t) => {
+  const { platform, crashed } = createFixture(5);
   await clock.tickAsync(5000);
   const lease = await settle(clock, platform.get('lease', 'accept'));
-  dead.add((lease._unsafeUnwrap().value as { holderId: string }).holderId);
+  crashed.add((lease._unsafeUnwrap().value as { holderId: string }).holderId);
   const text = plainDocument('counter-app', 'counter.example');
   await settle(clock, platform.create('document', 'counter-app', { text, format: 'yaml' }));
   await clock.tickAsync(5000);
   t.true((await settle(clock, platform.get('accepted', 'counter-app'))).isOk());
 });
 
-// The list of instances is empty: the platform has only just come up, or its list is broken. Waiting
-// for a rank would leave documents unaccepted until somebody looks.
+// The list of instances is empty because the platform has just started or its list is broken. Entries that waited for
+// a rank would accept no documents until an operator intervened.
 test.serial('an empty list of instances does not leave duties undone', async (t) => {
   const { platform, present, stopAll } = createFixture(2);
   present.splice(0);
@@ -105,14 +105,14 @@
   t.is(rank('entry-9'), undefined);
 });
 
-/** The platform as a process sees it whose calls end unheard once it is dead. */
-function mortal(platform: PlatformApi, isDead: () => boolean): PlatformApi {
-  const unheard = <Value>(): ResultAsync<Value, never> =>
+/** The platform as seen by a process that can crash, after which its calls never complete. */
+function withCrashes(platform: PlatformApi, hasCrashed: () => boolean): PlatformApi {
+  const neverAnswered = <Value>(): ResultAsync<Value, never> =>
     ResultAsync.fromSafePromise(new Promise<Value>(() => {}));
   return {
     ...platform,
-    get: (...call) => (isDead() ? unheard() : platform.get(...call)),
-    update: (...call) => (isDead() ? unheard() : platform.update(...call)),
-    watch: (...call) => (isDead() ? unheard() : platform.watch(...call)),
+    get: (...call) => (hasCrashed() ? neverAnswered() : platform.get(...call)),
+    update: (...call) => (hasCrashed() ? neverAnswered() : platform.update(...call)),
+    watch: (...call) => (hasCrashed() ? neverAnswered() : platform.watch(...call)),
   };
 }
--- a/packages/duties/scripts/acceptCost.ts
+++ b/packages/duties/scripts/acceptCost.ts
@@ -1,7 +1,7 @@
 /**
- * What accepting documents costs: platform calls and time for each change, at rest, and when the duty
- * changes hands, for several numbers of services. Twelve entries run their duties over an in-memory
- * platform that takes 2 ms a call. Options: `--sizes 30,300,3000 --changes 100 --idle-seconds 10`.
+ * Measures the cost of accepting documents, for several numbers of services: platform calls and time per change, while
+ * idle, and when the duty moves to another entry. Twelve entries run their duties over an in-memory platform that takes
+ * 2 ms per call. Options: `--sizes 30,300,3000 --changes 100 --idle-seconds 10`.
  */
 import { parseArgs } from 'node:util';
 import { objectKinds, type PlatformInstance } from '@bluebellhitch/objects';
@@ -137,7 +137,7 @@
   };
 }
 
-/** From a planned stop of the holder until its successor has accepted an edit made right after it. */
+/** Measures from a planned stop of the holder until its successor has accepted an edit made right after the stop. */
 async function measureTakeover(
   platform: StandinPlatform,
   fleet: RunningEntry[],
--- a/packages/duties/src/acceptedSummary.ts
+++ b/packages/duties/src/acceptedSummary.ts
@@ -1,6 +1,6 @@
 /**
- * What the acceptor remembers of an `accepted` object: enough to tell whether an edit changes
- * anything, without keeping every document in memory.
+ * Summary of an `accepted` object as the acceptor caches it: enough to detect whether an edit changes anything,
+ * without keeping every document in memory.
  */
 import { createHash } from 'node:crypto';
 import * as z from 'zod';
@@ -8,7 +8,7 @@
 import type { StoredObject } from '@bluebellhitch/objects';
 
 export interface AcceptedSummary {
-  /** Version of the `accepted` object: the condition of the next update. */
+  /** Version of the `accepted` object, which the next update is conditional on. */
   objectVersion: number;
   generation: number;
   documentVersion: number;
@@ -17,17 +17,17 @@
   routes: Route[];
 }
 
-/** Only the counters, so that a document of a later schema still yields its generation. */
+/** Parses the counters only, so that a document of a later schema still yields its generation. */
 const countersSchema = z.object({
   generation: z.number().int().positive(),
   documentVersion: z.number().int().nonnegative(),
   document: z.unknown(),
 });
 
-/** Digest of a value that is no document. */
-const unreadable = 'unreadable';
+/** Stands for the digest of a value that is not a valid document. */
+const unreadableDigest = 'unreadable';
 
-/** A value that cannot be read counts as generation 0 and differs from every document. */
+/** An unreadable value has generation 0 and a digest that no document has. */
 export function summariseAccepted(object: StoredObject): AcceptedSummary {
   const counters = countersSchema.safeParse(object.value);
   const document = serviceDocumentSchema.safeParse(counters.data?.document);
@@ -35,13 +35,13 @@
     objectVersion: object.version,
     generation: counters.data?.generation ?? 0,
     documentVersion: counters.data?.documentVersion ?? 0,
-    digest: document.success ? documentDigest(document.data) : unreadable,
+    digest: document.success ? documentDigest(document.data) : unreadableDigest,
     routes: document.data?.routes ?? [],
   };
 }
 
-/** Equal for documents that differ only in layout, comments and the order of fields. */
+/** Base64 SHA-256 digest, equal for documents that differ only in layout, comments or field order. */
 export function documentDigest(document: ServiceDocument): string {
-  const inSchemaOrder = serviceDocumentSchema.parse(document);
-  return createHash('sha256').update(JSON.stringify(inSchemaOrder)).digest('base64');
+  const normalised = serviceDocumentSchema.parse(document);
+  return createHash('sha256').update(JSON.stringify(normalised)).digest('base64');
 }
--- a/packages/duties/src/acceptor.ts
+++ b/packages/duties/src/acceptor.ts
@@ -1,10 +1,10 @@
 /**
- * The accepting duty: turns valid edits of `document` objects into the next generation of their
- * `accepted` objects, and reports what became of each edit in the `status` objects.
+ * The accepting duty: turns valid edits of `document` objects into the next generation of their `accepted` objects, and
+ * reports the result of each edit in the `status` objects.
  *
- * Two acceptors may run at once, because a paused holder does not know that its lease lapsed. The
- * conditional writes of `documentReconciler` are the safety; the lease only keeps two acceptors from
- * doing the same work and from accepting one route for two services.
+ * Two acceptors may run at once, because a paused holder does not know that its lease has expired. Correctness rests on
+ * the conditional writes of `documentReconciler`; the lease only keeps two acceptors from duplicating work and from
+ * accepting the same route for two services.
  */
 import {
   objectKinds,
@@ -13,7 +13,7 @@
   type StoredObject,
 } from '@bluebellhitch/objects';
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
-import { createAcceptorMemory, type AcceptorMemory } from './acceptorMemory';
+import { createAcceptorCache, type AcceptorCache } from './acceptorCache';
 import { createDocumentReconciler } from './documentReconciler';
 import { silentLogger, type DutyLogger } from './dutyLogger';
 import type { DocumentValidator } from './evaluateDocument';
@@ -24,26 +24,26 @@
   lease: Pick<DutyLease, 'heldFencing'>;
   validate: DocumentValidator;
   logger?: DutyLogger;
-  /** Longest wait of one watch call. */
+  /** Longest time that one watch call waits for changes. */
   watchWaitMs?: number;
-  /** Everything is listed and compared again after this long, whatever the watch said. */
+  /** Interval at which all objects are listed and compared again, whatever the watch reported. */
   resyncIntervalMs?: number;
-  /** Pause after a failed call; also how often a waiting acceptor looks whether it holds the lease. */
+  /** Pause after a failed call, and the interval at which an idle acceptor checks whether it holds the lease. */
   pauseMs?: number;
-  /** Services in work at once. */
+  /** Services that are reconciled concurrently. */
   concurrency?: number;
 }
 
 export interface Acceptor {
-  /** Works whenever the lease is held, until `signal` aborts. */
+  /** Accepts documents whenever the lease is held, until `signal` aborts. */
   run(signal: AbortSignal): Promise<void>;
 }
 
-/** A stretch of work under one fencing number. */
-interface Tenure {
-  memory: AcceptorMemory;
+/** A period of work under one fencing number. */
+interface LeaseTerm {
+  cache: AcceptorCache;
   queue: ReconcileQueue;
-  holds(): boolean;
+  isLeaseHeld(): boolean;
   signal: AbortSignal;
 }
 
@@ -56,39 +56,40 @@
     while (!signal.aborted) {
       const fencingNumber = lease.heldFencing()?.fencingNumber;
       if (fencingNumber !== undefined) {
-        await runTenure(fencingNumber, signal);
+        await runTerm(fencingNumber, signal);
       }
       await delay(pauseMs, signal);
     }
   }
 
-  async function runTenure(fencingNumber: number, signal: AbortSignal): Promise<void> {
-    const holds = () => !signal.aborted && lease.heldFencing()?.fencingNumber === fencingNumber;
-    const memory = createAcceptorMemory();
+  async function runTerm(fencingNumber: number, signal: AbortSignal): Promise<void> {
+    const isLeaseHeld = () =>
+      !signal.aborted && lease.heldFencing()?.fencingNumber === fencingNumber;
+    const cache = createAcceptorCache();
     const reconciler = createDocumentReconciler({
       platform,
-      memory,
+      cache,
       validate,
       logger,
-      holds,
-      onAccepted: () => memory.blockedServices().forEach((service) => queue.add(service)),
+      isLeaseHeld,
+      onAccepted: () => cache.blockedServices().forEach((service) => queue.add(service)),
     });
     const queue = createReconcileQueue({
       handle: reconciler.reconcile,
       concurrency,
       retryDelayMs: pauseMs,
     });
-    const tenure = { memory, queue, holds, signal };
-    const cursor = await compareEverything(tenure);
+    const term = { cache, queue, isLeaseHeld, signal };
+    const cursor = await resync(term);
     if (cursor !== undefined) {
-      logger.info('accepting documents', { fencingNumber, services: memory.services().length });
-      await followChanges(cursor, tenure);
+      logger.info('accepting documents', { fencingNumber, services: cache.services().length });
+      await followChanges(cursor, term);
     }
     queue.close();
   }
 
-  /** Lists documents last: see the order of reads in `documentReconciler`. */
-  async function compareEverything({ memory, queue }: Tenure): Promise<string | undefined> {
+  /** Lists the documents last; for the reason see `documentReconciler`. Returns the cursor to watch from. */
+  async function resync({ cache, queue }: LeaseTerm): Promise<string | undefined> {
     const [accepted, statuses] = await Promise.all([
       platform.list(objectKinds.accepted),
       platform.list(objectKinds.status),
@@ -98,16 +99,16 @@
       logger.warn('cannot list documents');
       return undefined;
     }
-    [...accepted.value.objects, ...statuses.value.objects].forEach(memory.note);
-    unsettledServices(documents.value.objects, memory).forEach(queue.add);
+    [...accepted.value.objects, ...statuses.value.objects].forEach(cache.note);
+    findUnsettledServices(documents.value.objects, cache).forEach(queue.add);
     return documents.value.cursor;
   }
 
-  async function followChanges(firstCursor: string, tenure: Tenure): Promise<void> {
-    const { queue, holds, signal } = tenure;
+  async function followChanges(startCursor: string, term: LeaseTerm): Promise<void> {
+    const { queue, isLeaseHeld, signal } = term;
     const resyncAtMs = monotonicNowMs() + resyncIntervalMs;
-    let cursor = firstCursor;
-    while (holds() && monotonicNowMs() < resyncAtMs) {
+    let cursor = startCursor;
+    while (isLeaseHeld() && monotonicNowMs() < resyncAtMs) {
       const reply = await platform.watch(objectKinds.document, cursor, watchWaitMs, signal);
       if (reply.isErr()) {
         await delay(pauseMs, signal);
@@ -125,10 +126,10 @@
   return { run };
 }
 
-/** Edited or removed since they were last reported, or rejected: the reason may be gone. */
-function unsettledServices(documents: readonly StoredObject[], memory: AcceptorMemory): string[] {
-  const edited = documents.filter((object) => !memory.isSettled(object)).map(({ key }) => key);
+/** Services whose document was edited or removed since the last report, or was rejected: the cause may be gone. */
+function findUnsettledServices(documents: readonly StoredObject[], cache: AcceptorCache): string[] {
+  const edited = documents.filter((object) => !cache.isSettled(object)).map(({ key }) => key);
   const present = new Set(documents.map(({ key }) => key));
-  const removed = memory.services().filter((service) => !present.has(service));
+  const removed = cache.services().filter((service) => !present.has(service));
   return [...edited, ...removed];
 }
--- a/packages/duties/src/acceptorMemory.ts
+++ b/packages/duties/src/acceptorCache.ts
@@ -1,6 +1,6 @@
 /**
- * What an acceptor knows of the platform's `accepted` and `status` objects: versions for conditional
- * writes, digests and routes. One entry a service; lives as long as one tenure of the lease.
+ * An acceptor's cache of the platform's `accepted` and `status` objects: versions for conditional writes, digests and
+ * routes. It has one entry per service and lasts for one term of the lease.
  */
 import type { Route } from '@bluebellhitch/document';
 import { objectKinds, type StoredObject } from '@bluebellhitch/objects';
@@ -10,31 +10,31 @@
 
 interface KnownStatus {
   objectVersion: number;
-  /** Absent where the stored value is not readable. */
+  /** Absent if the stored value is unreadable. */
   status?: ServiceStatus;
 }
 
-export interface AcceptorMemory {
-  /** Remembers an `accepted` or `status` object as read or written. */
+export interface AcceptorCache {
+  /** Stores an `accepted` or `status` object that was read or written. */
   note(object: StoredObject): void;
-  /** Forgets the versions of objects that are not there any more; the generation is kept. */
+  /** Drops the entries of objects that no longer exist; the generation is kept. */
   noteMissing(service: string, missing: { accepted: boolean; status: boolean }): void;
-  /** The highest generation known, 0 where there is none. Never goes down. */
+  /** The highest known generation, 0 if there is none. Never decreases. */
   generation(service: string): number;
   accepted(service: string): AcceptedSummary | undefined;
-  /** Version of the `status` object, for the condition of the next write. */
+  /** Version of the `status` object, which the next write is conditional on. */
   statusVersion(service: string): number | undefined;
   hasStatus(service: string, status: ServiceStatus): boolean;
-  /** Whether this version of the document has been accepted and reported, as far as versions tell. */
+  /** Whether this version of the document has been accepted and its acceptance reported, judging by versions. */
   isSettled(document: StoredObject): boolean;
   services(): string[];
-  routesInForce(): ReadonlyMap<string, readonly Route[]>;
-  /** Records whether only other services' documents stand in the way of this one. */
+  activeRoutes(): ReadonlyMap<string, readonly Route[]>;
+  /** Records whether conflicts with other services' documents are all that keeps this one from being accepted. */
   noteBlocked(service: string, blocked: boolean): void;
   blockedServices(): string[];
 }
 
-export function createAcceptorMemory(): AcceptorMemory {
+export function createAcceptorCache(): AcceptorCache {
   const acceptedByService = new Map<string, AcceptedSummary>();
   const statusByService = new Map<string, KnownStatus>();
   const routesByService = new Map<string, readonly Route[]>();
@@ -63,7 +63,7 @@
     noteGeneration(object.key, parsed.data?.generation ?? 0);
   }
 
-  // The status carries the count as well, so that it survives an accepted object that somebody removed.
+  // The status holds the generation too, so that it is not lost when the accepted object is removed by hand.
   function noteGeneration(service: string, generation: number): void {
     generationByService.set(service, Math.max(generation, generationOf(service)));
   }
@@ -106,16 +106,16 @@
     accepted: (service) => acceptedByService.get(service),
     statusVersion: (service) => statusByService.get(service)?.objectVersion,
     hasStatus: (service, status) =>
-      statusText(statusByService.get(service)?.status) === statusText(status),
+      serialiseStatus(statusByService.get(service)?.status) === serialiseStatus(status),
     isSettled,
     services: () => [...acceptedByService.keys()],
-    routesInForce: () => routesByService,
+    activeRoutes: () => routesByService,
     noteBlocked,
     blockedServices: () => [...blocked],
   };
 }
 
-/** Equal texts for equal statuses: parsing fixes the order of the fields. */
-function statusText(status: ServiceStatus | undefined): string | undefined {
+/** Equal statuses give equal texts, because parsing puts the fields in the order of the schema. */
+function serialiseStatus(status: ServiceStatus | undefined): string | undefined {
   return status && JSON.stringify(serviceStatusSchema.parse(status));
 }
--- a/packages/duties/src/conditionalWrite.ts
+++ b/packages/duties/src/conditionalWrite.ts
@@ -1,19 +1,19 @@
-/** Create or update under the version that was read, with the outcome as one tagged union. */
+/** Creates an object, or updates it on condition of its version; returns the outcome as a tagged union. */
 import type { ObjectKind, PlatformApi, PlatformError, StoredObject } from '@bluebellhitch/objects';
 
 export type WriteOutcome =
   | { kind: 'written'; object: StoredObject }
-  /** Somebody wrote in between, or our own answer was lost: read back before anything else. */
+  /** Another write came first, or the response was lost: the object must be read again before the next write. */
   | { kind: 'read-back' }
-  /** Certainly without effect: try the same again later. */
+  /** The write had no effect and may be repeated later. */
   | { kind: 'later' }
-  /** The platform will never take this value. */
+  /** The platform rejects this value for good. */
   | { kind: 'refused'; detail: string };
 
 export interface ConditionalWrite {
   kind: ObjectKind;
   key: string;
-  /** Version that must still be there; absent: the object must not exist. */
+  /** Version that the object must still have; absent: the object must not exist. */
   expectedVersion?: number;
   value: unknown;
 }
--- a/packages/duties/src/documentReconciler.ts
+++ b/packages/duties/src/documentReconciler.ts
@@ -1,14 +1,14 @@
 /**
  * Brings one service's `accepted` and `status` objects in line with its `document` object.
  *
- * Each write is conditional on a version that was read before the document was. A write that takes
- * effect was therefore made from a document at least as new as the one behind the value it replaces,
- * however long its sender was paused and whoever else accepted meanwhile.
+ * Each write is conditional on a version that was read before the document. A write that takes effect is therefore
+ * based on a document at least as new as the one behind the value that it replaces, however long its sender was paused
+ * and whatever other acceptors wrote in the meantime.
  */
 import type { ServiceDocument } from '@bluebellhitch/document';
 import { objectKinds, type PlatformApi, type StoredObject } from '@bluebellhitch/objects';
 import { invariant } from '@bluebellhitch/shared';
-import type { AcceptorMemory } from './acceptorMemory';
+import type { AcceptorCache } from './acceptorCache';
 import { writeConditionally, type ConditionalWrite } from './conditionalWrite';
 import type { DutyLogger } from './dutyLogger';
 import { evaluateDocument, type DocumentValidator, type Verdict } from './evaluateDocument';
@@ -16,12 +16,12 @@
 
 export interface DocumentReconcilerOptions {
   platform: PlatformApi;
-  memory: AcceptorMemory;
+  cache: AcceptorCache;
   validate: DocumentValidator;
   logger: DutyLogger;
   /** Whether the duty's lease is still held. */
-  holds(): boolean;
-  /** Called after each new generation. */
+  isLeaseHeld(): boolean;
+  /** Called after each new generation has been written. */
   onAccepted(service: string): void;
 }
 
@@ -29,17 +29,17 @@
   reconcile(service: string): Promise<'done' | 'retry'>;
 }
 
-/** `read-back`: what is stored is not known any more. `later`: no effect, the platform is away. */
-type Step = 'done' | 'read-back' | 'later';
+/** `read-back`: the stored state is unknown. `later`: no effect; the platform is unavailable or refuses the write. */
+type StepOutcome = 'done' | 'read-back' | 'later';
 
-/** Lost races and lost answers in a row before the service waits for its next turn. */
+/** Consecutive conflicts and lost responses before the service goes back to the queue. */
 const maxSteps = 5;
 
 export function createDocumentReconciler(options: DocumentReconcilerOptions): DocumentReconciler {
-  const { platform, memory, validate, logger, holds, onAccepted } = options;
+  const { platform, cache, validate, logger, isLeaseHeld, onAccepted } = options;
 
   async function reconcile(service: string): Promise<'done' | 'retry'> {
-    for (let stepCount = 0; stepCount < maxSteps && holds(); stepCount += 1) {
+    for (let stepCount = 0; stepCount < maxSteps && isLeaseHeld(); stepCount += 1) {
       const step = await reconcileOnce(service);
       if (step === 'done') {
         return 'done';
@@ -51,13 +51,13 @@
     return 'retry';
   }
 
-  async function reconcileOnce(service: string): Promise<Step> {
+  async function reconcileOnce(service: string): Promise<StepOutcome> {
     const read = await platform.get(objectKinds.document, service);
     if (read.isErr()) {
       return read.error.kind === 'not-found' ? reportRemoval(service) : 'later';
     }
     const object = read.value;
-    const verdict = judge(object);
+    const verdict = evaluate(object);
     if (verdict.kind === 'changed') {
       const accepted = await writeAccepted(object, verdict.document);
       if (accepted !== 'done') {
@@ -67,23 +67,26 @@
     return writeStatus(service, describeVerdict(verdict, object));
   }
 
-  function judge(object: StoredObject): Verdict {
+  function evaluate(object: StoredObject): Verdict {
     const verdict = evaluateDocument({
       object,
-      accepted: memory.accepted(object.key),
-      routesInForce: memory.routesInForce(),
+      accepted: cache.accepted(object.key),
+      activeRoutes: cache.activeRoutes(),
       validate,
     });
-    memory.noteBlocked(object.key, verdict.kind === 'rejected' && verdict.blocked);
+    cache.noteBlocked(object.key, verdict.kind === 'rejected' && verdict.blocked);
     return verdict;
   }
 
-  async function writeAccepted(object: StoredObject, document: ServiceDocument): Promise<Step> {
-    const generation = memory.generation(object.key) + 1;
+  async function writeAccepted(
+    object: StoredObject,
+    document: ServiceDocument,
+  ): Promise<StepOutcome> {
+    const generation = cache.generation(object.key) + 1;
     const step = await write({
       kind: objectKinds.accepted,
       key: object.key,
-      expectedVersion: memory.accepted(object.key)?.objectVersion,
+      expectedVersion: cache.accepted(object.key)?.objectVersion,
       value: {
         generation,
         documentVersion: object.version,
@@ -92,33 +95,33 @@
       },
     });
     if (step === 'done') {
-      invariant(memory.generation(object.key) === generation, 'generations rise by one');
+      invariant(cache.generation(object.key) === generation, 'generations rise by one');
       logger.info('accepted a document', { service: object.key, generation });
       onAccepted(object.key);
     }
     return step;
   }
 
-  async function writeStatus(service: string, status: ServiceStatus): Promise<Step> {
-    if (memory.hasStatus(service, status)) {
+  async function writeStatus(service: string, status: ServiceStatus): Promise<StepOutcome> {
+    if (cache.hasStatus(service, status)) {
       return 'done';
     }
-    const expectedVersion = memory.statusVersion(service);
+    const expectedVersion = cache.statusVersion(service);
     return write({ kind: objectKinds.status, key: service, expectedVersion, value: status });
   }
 
-  async function write(options_: ConditionalWrite): Promise<Step> {
-    // A holder that slept through its lease must not act on what it decided before.
-    if (!holds()) {
+  async function write(request: ConditionalWrite): Promise<StepOutcome> {
+    // A process that was paused past its lease must not act on an earlier decision.
+    if (!isLeaseHeld()) {
       return 'later';
     }
-    const outcome = await writeConditionally(platform, options_);
+    const outcome = await writeConditionally(platform, request);
     switch (outcome.kind) {
       case 'written':
-        memory.note(outcome.object);
+        cache.note(outcome.object);
         return 'done';
       case 'refused':
-        logger.warn('the platform refuses a value', { ...options_, value: undefined });
+        logger.warn('the platform rejected a write', { ...request, value: undefined });
         return 'later';
       case 'read-back':
       case 'later':
@@ -128,10 +131,10 @@
     }
   }
 
-  /** The last accepted document stays in force: removing an object must not cut off a service. */
-  async function reportRemoval(service: string): Promise<Step> {
-    memory.noteBlocked(service, false);
-    const accepted = memory.accepted(service);
+  /** The last accepted document stays in force, so that removing an object does not cut off its service. */
+  async function reportRemoval(service: string): Promise<StepOutcome> {
+    cache.noteBlocked(service, false);
+    const accepted = cache.accepted(service);
     if (accepted === undefined) {
       return 'done';
     }
@@ -141,13 +144,13 @@
     return writeStatus(service, { documentVersion, state: 'accepted', generation, findings });
   }
 
-  /** Learns what is stored now; false where the platform does not say. */
+  /** Refreshes the cache from the platform; false if the platform does not respond. */
   async function readBack(service: string): Promise<boolean> {
     const accepted = await platform.get(objectKinds.accepted, service);
     const status = await platform.get(objectKinds.status, service);
     const results = [accepted, status];
-    results.forEach((result) => result.map(memory.note));
-    memory.noteMissing(service, {
+    results.forEach((result) => result.map(cache.note));
+    cache.noteMissing(service, {
       accepted: accepted.isErr() && accepted.error.kind === 'not-found',
       status: status.isErr() && status.error.kind === 'not-found',
     });
@@ -159,8 +162,8 @@
     return {
       documentVersion: object.version,
       state: rejected ? 'rejected' : 'accepted',
-      generation: memory.generation(object.key),
-      findings: rejected ? verdict.findings : verdict.remarks,
+      generation: cache.generation(object.key),
+      findings: rejected ? verdict.findings : verdict.warnings,
     };
   }
 
--- a/packages/duties/src/dutyLogger.ts
+++ b/packages/duties/src/dutyLogger.ts
@@ -1,4 +1,4 @@
-/** What the duties log through; the program's logger has this shape. */
+/** The part of the application's logger that the duties use. */
 
 /** Structured logging: a message and its fields. */
 export interface DutyLogger {
--- a/packages/duties/src/evaluateDocument.ts
+++ b/packages/duties/src/evaluateDocument.ts
@@ -1,4 +1,4 @@
-/** The acceptor's decision about one `document` object: a pure function. */
+/** Decides whether one `document` object is accepted; pure. */
 import * as z from 'zod';
 import type { Result } from 'neverthrow';
 import type { DocumentFormat, ParsedDocument, ServiceDocument } from '@bluebellhitch/document';
@@ -7,7 +7,7 @@
 import { documentDigest, type AcceptedSummary } from './acceptedSummary';
 import { findKeyMismatch, findRouteConflicts, type RoutesByService } from './routeConflicts';
 
-/** Parses and validates a document's text, all findings together; `parseDocument` has this shape. */
+/** Parses and validates a document's text and reports all findings together, as `parseDocument` does. */
 export type DocumentValidator = (
   text: string,
   options: { fileName: string; format: DocumentFormat },
@@ -20,22 +20,22 @@
 });
 
 export type Verdict =
-  /** Valid and different from what is in force: becomes the next generation. */
-  | { kind: 'changed'; document: ServiceDocument; remarks: Finding[] }
-  /** Valid, and says what is in force already. */
-  | { kind: 'unchanged'; remarks: Finding[] }
-  /** `blocked`: only other documents stand in its way. */
+  /** Valid and different from the document in force: becomes the next generation. */
+  | { kind: 'changed'; document: ServiceDocument; warnings: Finding[] }
+  /** Valid and equal to the document in force. */
+  | { kind: 'unchanged'; warnings: Finding[] }
+  /** `blocked`: rejected only because of routes that other documents have in force. */
   | { kind: 'rejected'; findings: Finding[]; blocked: boolean };
 
 export interface EvaluateOptions {
   object: StoredObject;
   accepted?: AcceptedSummary;
-  routesInForce: RoutesByService;
+  activeRoutes: RoutesByService;
   validate: DocumentValidator;
 }
 
 export function evaluateDocument(options: EvaluateOptions): Verdict {
-  const { object, accepted, routesInForce, validate } = options;
+  const { object, accepted, activeRoutes, validate } = options;
   const value = documentValueSchema.safeParse(object.value);
   if (!value.success) {
     return { kind: 'rejected', findings: valueFindings(value.error), blocked: false };
@@ -45,15 +45,15 @@
   if (validated.isErr()) {
     return { kind: 'rejected', findings: validated.error, blocked: false };
   }
-  const { document, findings: remarks } = validated.value;
+  const { document, findings: warnings } = validated.value;
   const mismatches = findKeyMismatch(object.key, document);
-  const conflicts = findRouteConflicts(document, routesInForce);
+  const conflicts = findRouteConflicts(document, activeRoutes);
   if (mismatches.length + conflicts.length > 0) {
     const findings = [...mismatches, ...conflicts];
     return { kind: 'rejected', findings, blocked: mismatches.length === 0 };
   }
   const unchanged = accepted?.digest === documentDigest(document);
-  return unchanged ? { kind: 'unchanged', remarks } : { kind: 'changed', document, remarks };
+  return unchanged ? { kind: 'unchanged', warnings } : { kind: 'changed', document, warnings };
 }
 
 function valueFindings(error: z.ZodError): Finding[] {
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -9,13 +9,13 @@
   type OrderCallError,
 } from './orderAgentClient';
 export {
-  createOrderHolder,
-  defaultOrderHolderSettings,
-  type DocumentInForce,
-  type OrderHolder,
-  type OrderHolderOptions,
-  type OrderHolderSettings,
-} from './orderHolder';
+  createOrderReconciler,
+  defaultOrderReconcilerSettings,
+  type ActiveDocument,
+  type OrderReconciler,
+  type OrderReconcilerOptions,
+  type OrderReconcilerSettings,
+} from './orderReconciler';
 export { orderLeaseKey } from './orderSender';
 export {
   planOrders,
--- a/packages/duties/src/orderAgentClient.ts
+++ b/packages/duties/src/orderAgentClient.ts
@@ -1,4 +1,4 @@
-/** The agents beside engines as the order holder sees them, and the trpc client that talks to them. */
+/** tRPC client for the agents of engines, as the order reconciler uses them. */
 import { createTRPCClient, httpLink, type TRPCClient } from '@trpc/client';
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import type { z } from 'zod';
@@ -16,7 +16,7 @@
 import { credentialHeaders, innerAudiences, type InnerCredentials } from '@bluebellhitch/security';
 
 export interface OrderCallError {
-  /** No answer: the call may or may not have had an effect. */
+  /** No usable response: the call may or may not have had an effect. */
   kind: 'no-answer';
   detail: string;
 }
@@ -24,9 +24,9 @@
 /** `address` is the agent's `http://ip:port`. */
 export interface OrderAgentClient {
   workerState(address: string): ResultAsync<WorkerState, OrderCallError>;
-  /** The load of a worker, by a bid that reserves nothing. */
+  /** The load of a worker, from a bid request that reserves nothing. */
   load(address: string, service: string): ResultAsync<LoadHint, OrderCallError>;
-  /** Answers when the engine has carried the order out, or after `timeoutMs`. */
+  /** Resolves when the engine has executed the order, or fails after `timeoutMs`. */
   order(
     address: string,
     request: OrderRequest,
@@ -35,18 +35,18 @@
 }
 
 export interface OrderAgentClientOptions {
-  /** Absent: agents that ask for credentials refuse every call. */
+  /** Absent: agents that require credentials refuse every call. */
   credentials?: InnerCredentials;
-  /** For counting bytes; default: the runtime's. */
+  /** Replaces the runtime's `fetch`, for example to count bytes. */
   fetch?: typeof fetch;
-  /** For calls that only read. */
+  /** Timeout of calls that only read. */
   readTimeoutMs?: number;
-  /** Clients kept; the one used longest ago is dropped. */
+  /** Size of the client cache; the least recently used client is evicted. */
   maxClients?: number;
 }
 
 export function createOrderAgentClient(options: OrderAgentClientOptions = {}): OrderAgentClient {
-  const { fetch: send, readTimeoutMs = 2000, maxClients = 256 } = options;
+  const { fetch: fetchImpl, readTimeoutMs = 2000, maxClients = 256 } = options;
   const headers = credentialHeaders(options.credentials, innerAudiences.agent);
   const clients = new Map<string, TRPCClient<AgentRouter>>();
 
@@ -54,7 +54,7 @@
     const url = `${address}${innerPaths.trpc}`;
     const client =
       clients.get(address) ??
-      createTRPCClient<AgentRouter>({ links: [httpLink({ url, headers, fetch: send })] });
+      createTRPCClient<AgentRouter>({ links: [httpLink({ url, headers, fetch: fetchImpl })] });
     clients.delete(address);
     clients.set(address, client);
     [...clients.keys()].slice(0, -maxClients).forEach((oldest) => clients.delete(oldest));
@@ -63,32 +63,32 @@
 
   return {
     workerState: (address) =>
-      checked(
+      parseReply(
         workerStateSchema,
         clientOf(address).workerState.query(undefined, timeLimit(readTimeoutMs)),
       ),
     load: (address, service) =>
-      checked(
+      parseReply(
         bidSchema,
-        clientOf(address).bid.mutate(smallestBid(service), timeLimit(readTimeoutMs)),
+        clientOf(address).bid.mutate(probeBid(service), timeLimit(readTimeoutMs)),
       ).map(({ load }) => load),
     order: (address, request, timeoutMs) =>
-      checked(orderReplySchema, clientOf(address).order.mutate(request, timeLimit(timeoutMs))),
+      parseReply(orderReplySchema, clientOf(address).order.mutate(request, timeLimit(timeoutMs))),
   };
 }
 
-function checked<Schema extends z.ZodType>(
+function parseReply<Schema extends z.ZodType>(
   schema: Schema,
   reply: Promise<unknown>,
 ): ResultAsync<z.infer<Schema>, OrderCallError> {
-  const answer = ResultAsync.fromPromise(reply, (error) => noAnswer(String(error)));
-  return answer.andThen((value): Result<z.infer<Schema>, OrderCallError> => {
+  const response = ResultAsync.fromPromise(reply, (error) => noResponse(String(error)));
+  return response.andThen((value): Result<z.infer<Schema>, OrderCallError> => {
     const parsed = schema.safeParse(value);
-    return parsed.success ? ok(parsed.data) : err(noAnswer('unexpected reply'));
+    return parsed.success ? ok(parsed.data) : err(noResponse('unexpected reply'));
   });
 }
 
-function noAnswer(detail: string): OrderCallError {
+function noResponse(detail: string): OrderCallError {
   return { kind: 'no-answer', detail };
 }
 
@@ -96,7 +96,7 @@
   return { signal: AbortSignal.timeout(Math.max(1, Math.ceil(timeoutMs))) };
 }
 
-function smallestBid(service: string) {
+function probeBid(service: string) {
   const className = 'standard';
   return { service, promptTokens: 0, maxOutputTokens: 1, prefixBlocks: [], className };
 }
--- a/packages/duties/src/orderHolder.ts
+++ b/packages/duties/src/orderReconciler.ts
@@ -1,7 +1,7 @@
 /**
- * The order duty of one model service: compares what its workers run with its document and orders the
- * difference. The lease is taken only while there is something to order, so that a service at rest
- * costs the platform no calls.
+ * The order duty of one model service: compares what its workers run with its document and sends orders for the
+ * difference. The lease is held only while there is something to order, so that an idle service costs the platform no
+ * calls.
  */
 import type { AcceptedDocument, ServiceDocument } from '@bluebellhitch/document';
 import type { DutyLease, PlatformInstance } from '@bluebellhitch/objects';
@@ -15,16 +15,16 @@
 import type { WorkerView } from './workerView';
 import { observeWorkers, type ObservedWorker } from './workerObserver';
 
-export interface OrderHolderSettings {
-  /** Loads of one service from the weight store at once. */
+export interface OrderReconcilerSettings {
+  /** Concurrent loads of one service from the weight store. */
   maxConcurrentLoads: number;
-  /** Shortest pause between two looks at the workers while orders are under way. */
+  /** Pause between two observations of the workers while orders are in progress. */
   activePauseMs: number;
-  /** The same at rest. */
-  restPauseMs: number;
-  /** Bytes that looking at workers may cost; larger services are looked at less often. */
+  /** Shortest pause between two observations while the service is idle. */
+  idlePauseMs: number;
+  /** Traffic that observing idle workers may cause; larger services are observed less often. */
   observeBytesPerSecond: number;
-  /** The lease is released after this long without an order. */
+  /** Time without an order after which the lease is released. */
   releaseAfterMs: number;
   orderTimeoutMs: number;
   confirmTimeoutMs: number;
@@ -33,10 +33,10 @@
   maxBackoffMs: number;
 }
 
-export const defaultOrderHolderSettings: OrderHolderSettings = {
+export const defaultOrderReconcilerSettings: OrderReconcilerSettings = {
   maxConcurrentLoads: 2,
   activePauseMs: 1000,
-  restPauseMs: 5000,
+  idlePauseMs: 5000,
   observeBytesPerSecond: 1000,
   releaseAfterMs: 30_000,
   orderTimeoutMs: 600_000,
@@ -47,47 +47,47 @@
 };
 
 /** A service's accepted document as this process applies it. */
-export type DocumentInForce = Pick<AcceptedDocument, 'generation' | 'document'>;
+export type ActiveDocument = Pick<AcceptedDocument, 'generation' | 'document'>;
 
-export interface OrderHolderOptions {
+export interface OrderReconcilerOptions {
   service: string;
   holderId: string;
   lease: Pick<DutyLease, 'heldFencing' | 'start' | 'stop'>;
   agentClient: OrderAgentClient;
   /** The service's accepted document, once known. */
-  document(): DocumentInForce | undefined;
+  document(): ActiveDocument | undefined;
   /** Instances of the service, live and leaving. */
   instances(): readonly PlatformInstance[];
-  /** Position among the entries for this duty; later ones look less often. */
+  /** Position among the entries for this duty; entries of a higher rank observe the workers less often. */
   rank(): number;
   logger?: DutyLogger;
   random?: Random;
-  settings?: Partial<OrderHolderSettings>;
+  settings?: Partial<OrderReconcilerSettings>;
 }
 
-export interface OrderHolder {
-  /** Works until `signal` aborts, then releases the lease. */
+export interface OrderReconciler {
+  /** Runs until `signal` aborts, then releases the lease. */
   run(signal: AbortSignal): Promise<void>;
 }
 
-/** What the workers should come to. */
-interface Goal {
+/** The state that the workers are brought to. */
+interface DesiredState {
   document: ServiceDocument;
-  wantedPrefillWorkers: number | undefined;
+  targetPrefillWorkers: number | undefined;
 }
 
-/** One question to one worker over the inner protocol, with its answer and headers. */
-const bytesPerQuestion = 1000;
-/** How often a resting holder looks whether the document or the list of workers changed. */
-const wakeIntervalMs = 1000;
-/** How long to wait for the lease before looking at the workers again. */
+/** Size of one call to a worker over the inner protocol: request, response and headers. */
+const bytesPerCall = 1000;
+/** Interval at which an idle reconciler checks whether the document or the list of workers has changed. */
+const changePollMs = 1000;
+/** Longest wait for the lease before the workers are observed again. */
 const leaseWaitMs = 10_000;
 const leasePollMs = 50;
 
-export function createOrderHolder(options: OrderHolderOptions): OrderHolder {
+export function createOrderReconciler(options: OrderReconcilerOptions): OrderReconciler {
   const { service, holderId, lease, agentClient, document, instances, rank } = options;
   const { logger = silentLogger, random = Math.random } = options;
-  const settings = { ...defaultOrderHolderSettings, ...options.settings };
+  const settings = { ...defaultOrderReconcilerSettings, ...options.settings };
   const sender = createOrderSender({
     ...settings,
     service,
@@ -98,60 +98,67 @@
     random,
   });
   let balance: RoleBalanceState = {};
-  let competing = false;
-  let orderedAtMs = -Infinity;
+  let isCompeting = false;
+  let lastOrderAtMs = -Infinity;
 
   async function run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const seen = signature();
+      const inputsBefore = describeInputs();
       const pauseMs = await runPass(signal);
-      await rest(pauseMs, seen, signal);
+      await waitForChange(pauseMs, inputsBefore, signal);
     }
     await lease.stop();
   }
 
-  /** One comparison; answers how long to rest. */
+  /** Runs one comparison and returns the pause until the next one. */
   async function runPass(signal: AbortSignal): Promise<number> {
     const accepted = document();
     if (accepted === undefined || accepted.document.kind !== 'model') {
       await releaseWhenIdle();
-      return settings.restPauseMs;
+      return settings.idlePauseMs;
     }
     const workers = await observe(accepted.document);
-    const wantedPrefillWorkers = wantPrefillWorkers(accepted.document, workers);
-    const goal = { document: accepted.document, wantedPrefillWorkers };
-    const wanted = planFor(goal, workers, false);
-    if (wanted.orders.length === 0) {
+    const targetPrefillWorkers = resolveTargetPrefillWorkers(accepted.document, workers);
+    const desired = { document: accepted.document, targetPrefillWorkers };
+    const plan = planFor(desired, workers, false);
+    if (plan.orders.length === 0) {
       await releaseWhenIdle();
-      const isAtRest = sender.inFlightCount() === 0 && wanted.waitingCount === 0;
-      return isAtRest ? restPauseFor(accepted.document, workers.length) : settings.activePauseMs;
+      const isIdle = sender.inFlightCount() === 0 && plan.waitingCount === 0;
+      return isIdle ? idlePauseFor(accepted.document, workers.length) : settings.activePauseMs;
     }
     if (await holdLease(signal)) {
-      await orderUnderLease(goal, workers);
+      await orderUnderLease(desired, workers);
     }
     return settings.activePauseMs;
   }
 
-  async function orderUnderLease(goal: Goal, seen: readonly ObservedWorker[]): Promise<void> {
-    const confirmations = await Promise.all(seen.map(confirmWorker));
-    // What was seen before an earlier holder's orders came to their end may be out of date.
-    const workers = confirmations.includes(true) ? await observe(goal.document) : seen;
-    sendPlanned(planFor(goal, workers, true), workers);
+  async function orderUnderLease(
+    desired: DesiredState,
+    observed: readonly ObservedWorker[],
+  ): Promise<void> {
+    const confirmations = await Promise.all(observed.map(confirmWorker));
+    // Observations from before the end of an earlier holder's orders may be out of date.
+    const workers = confirmations.includes(true) ? await observe(desired.document) : observed;
+    sendPlanned(planFor(desired, workers, true), workers);
   }
 
-  function planFor(goal: Goal, workers: readonly ObservedWorker[], confirmed: boolean): OrderPlan {
+  function planFor(
+    desired: DesiredState,
+    workers: readonly ObservedWorker[],
+    confirmed: boolean,
+  ): OrderPlan {
     return planOrders({
-      ...goal,
-      workers: viewsOf(workers, goal.document, confirmed),
+      ...desired,
+      workers: viewsOf(workers, desired.document, confirmed),
       maxConcurrentLoads: settings.maxConcurrentLoads,
     });
   }
 
   function observe({ rollout }: ServiceDocument): Promise<ObservedWorker[]> {
-    const present = instances();
-    sender.retain(new Set(present.map(({ id }) => id)));
+    const current = instances();
+    sender.retain(new Set(current.map(({ id }) => id)));
     const withLoad = rollout.prefillWorkers === undefined;
-    return observeWorkers({ instances: present, agentClient, service, withLoad });
+    return observeWorkers({ instances: current, agentClient, service, withLoad });
   }
 
   function viewsOf(
@@ -169,7 +176,7 @@
     }));
   }
 
-  function wantPrefillWorkers(
+  function resolveTargetPrefillWorkers(
     { rollout, targets }: ServiceDocument,
     workers: readonly ObservedWorker[],
   ): number | undefined {
@@ -191,13 +198,13 @@
       nowMs: monotonicNowMs(),
     });
     balance = balanced.state;
-    return balanced.wantedPrefillWorkers;
+    return balanced.targetPrefillWorkers;
   }
 
   async function holdLease(signal: AbortSignal): Promise<boolean> {
-    if (!competing) {
-      competing = true;
-      orderedAtMs = monotonicNowMs();
+    if (!isCompeting) {
+      isCompeting = true;
+      lastOrderAtMs = monotonicNowMs();
       lease.start();
     }
     const giveUpAtMs = monotonicNowMs() + leaseWaitMs;
@@ -208,9 +215,9 @@
   }
 
   async function releaseWhenIdle(): Promise<void> {
-    const isIdle = monotonicNowMs() - orderedAtMs >= settings.releaseAfterMs;
-    if (competing && isIdle && sender.inFlightCount() === 0) {
-      competing = false;
+    const isIdle = monotonicNowMs() - lastOrderAtMs >= settings.releaseAfterMs;
+    if (isCompeting && isIdle && sender.inFlightCount() === 0) {
+      isCompeting = false;
       await lease.stop();
     }
   }
@@ -226,26 +233,30 @@
       sender.send(targetOf(worker.instance), order);
     });
     if (plan.orders.length > 0) {
-      orderedAtMs = monotonicNowMs();
+      lastOrderAtMs = monotonicNowMs();
     }
   }
 
-  function restPauseFor({ rollout }: ServiceDocument, workerCount: number): number {
-    const questions = rollout.prefillWorkers === undefined ? 2 : 1;
-    const bytes = workerCount * questions * bytesPerQuestion;
+  function idlePauseFor({ rollout }: ServiceDocument, workerCount: number): number {
+    const callCount = rollout.prefillWorkers === undefined ? 2 : 1;
+    const bytes = workerCount * callCount * bytesPerCall;
     const budgetedMs = (bytes / settings.observeBytesPerSecond) * 1000;
-    return Math.max(settings.restPauseMs, budgetedMs) * (1 + 2 * rank());
+    return Math.max(settings.idlePauseMs, budgetedMs) * (1 + 2 * rank());
   }
 
-  /** Ends early where the document or the list of workers changes. */
-  async function rest(pauseMs: number, seen: string, signal: AbortSignal): Promise<void> {
+  /** Waits for `pauseMs`, or less if the document or the list of workers changes. */
+  async function waitForChange(
+    pauseMs: number,
+    inputsBefore: string,
+    signal: AbortSignal,
+  ): Promise<void> {
     const untilMs = monotonicNowMs() + pauseMs;
-    while (monotonicNowMs() < untilMs && !signal.aborted && signature() === seen) {
-      await delay(Math.min(wakeIntervalMs, untilMs - monotonicNowMs()), signal);
+    while (monotonicNowMs() < untilMs && !signal.aborted && describeInputs() === inputsBefore) {
+      await delay(Math.min(changePollMs, untilMs - monotonicNowMs()), signal);
     }
   }
 
-  function signature(): string {
+  function describeInputs(): string {
     const ids = instances().map(({ id, state }) => `${id}:${state}`);
     return `${document()?.generation ?? 0} ${ids.sort().join(' ')}`;
   }
--- a/packages/duties/src/orderSender.ts
+++ b/packages/duties/src/orderSender.ts
@@ -1,6 +1,6 @@
 /**
- * Sends orders under the lease of the order duty, and remembers which workers may still be carrying
- * one out. Nothing of this has to survive the holder: see `confirm`.
+ * Sends orders under the lease of the order duty, and tracks which workers may still be executing one. None of this
+ * state has to survive the holder: see `confirm`.
  */
 import type { DutyLease } from '@bluebellhitch/objects';
 import type { EngineOrder, OrderReply, WorkerState } from '@bluebellhitch/protocol';
@@ -20,38 +20,39 @@
   agentClient: OrderAgentClient;
   logger: DutyLogger;
   random: Random;
-  /** Longest time that an engine takes for an order. */
+  /** Longest time that an engine may take for an order. */
   orderTimeoutMs: number;
-  /** How long a worker may take to confirm that nothing runs there. */
+  /** Longest time that a worker may take to confirm that it executes no order. */
   confirmTimeoutMs: number;
-  /** How long a worker's report may lag behind a finished order. */
+  /** Longest time by which a worker's report may lag behind a finished order. */
   reportLagMs: number;
-  /** First pause after a failed order; doubles with each further one up to `maxBackoffMs`. */
+  /** Pause after the first failed order; doubles with each further failure, up to `maxBackoffMs`. */
   backoffMs: number;
   maxBackoffMs: number;
 }
 
 export interface OrderSender {
-  /** Sends in the background; the worker is busy until the order's end is known. */
+  /** Sends in the background; the worker counts as busy until the order's outcome is known. */
   send(target: OrderTarget, order: EngineOrder): void;
   /**
-   * Orders the role that the worker has already. The agent runs one order at a time, so its answer
-   * proves that no order of an earlier holder runs there any more, and from then on the agent refuses
-   * those that are still under way. Without it a new holder would take workers out of service beside
-   * those that are still loading for its predecessor. True where it was confirmed just now.
+   * Orders the role that the worker already has. The agent executes one order at a time, so its response proves that
+   * no order of an earlier holder is running there; from then on the agent refuses orders of earlier holders that are
+   * still in transit. Without this a new holder would take workers out of service in addition to those that are still
+   * loading for its predecessor. Returns true if this call obtained the confirmation.
    */
   confirm(target: OrderTarget, state: WorkerState): Promise<boolean>;
-  /** Whether an order may be running; `confirmed` asks for proof under the current number as well. */
+  /** Whether an order may be running; `confirmed` also requires a confirmation under the current fencing number. */
   isBusy(instanceId: string, state: WorkerState | undefined, confirmed: boolean): boolean;
-  /** An order failed there lately: others get their turn first, for a time that grows. */
+  /** Whether the worker is in backoff after a failed order, so that other workers come first. */
   isDeferred(instanceId: string): boolean;
-  /** Orders sent and not answered yet. */
+  /** Orders sent that have no response yet. */
   inFlightCount(): number;
-  /** Forgets workers that are gone. */
+  /** Drops the state of all other workers, except for orders in flight. */
   retain(instanceIds: ReadonlySet<string>): void;
 }
 
-interface Unsettled {
+/** An order that was reported as done but does not show in the worker's state yet. */
+interface UnverifiedOrder {
   order: EngineOrder;
   untilMs: number;
 }
@@ -64,41 +65,46 @@
 export function createOrderSender(options: OrderSenderOptions): OrderSender {
   const { service, holderId, lease, agentClient, logger, random } = options;
   const inFlight = new Map<string, EngineOrder>();
-  const unsettled = new Map<string, Unsettled>();
+  const unverified = new Map<string, UnverifiedOrder>();
   const failures = new Map<string, Failures>();
   /** Fencing number and incarnation under which a worker last confirmed. */
   const confirmations = new Map<string, string>();
 
   function send(target: OrderTarget, order: EngineOrder): void {
-    void sendAndLearn(target, order);
+    void sendAndRecord(target, order);
   }
 
-  async function sendAndLearn({ instanceId, address }: OrderTarget, order: EngineOrder) {
-    // Read at the last moment: a process that was paused since it planned must not send.
+  async function sendAndRecord({ instanceId, address }: OrderTarget, order: EngineOrder) {
+    // Checked right before sending: a process that was paused after planning must not send under an expired lease.
     const held = lease.heldFencing();
     if (held === undefined) {
       return;
     }
     inFlight.set(instanceId, order);
-    logger.info('ordering', { service, instanceId, order, fencingNumber: held.fencingNumber });
+    logger.info('sending an order', {
+      service,
+      instanceId,
+      order,
+      fencingNumber: held.fencingNumber,
+    });
     const reply = await agentClient.order(
       address,
       { service, holderId, ...held, order },
       options.orderTimeoutMs,
     );
     inFlight.delete(instanceId);
-    const outcome = reply.unwrapOr(unknownOutcome);
-    learnOutcome(instanceId, order, outcome);
+    const outcome = reply.unwrapOr(unknownOutcomeReply);
+    recordOutcome(instanceId, order, outcome);
   }
 
-  function learnOutcome(instanceId: string, order: EngineOrder, reply: OrderReply): void {
+  function recordOutcome(instanceId: string, order: EngineOrder, reply: OrderReply): void {
     switch (reply.kind) {
       case 'done':
-        unsettled.set(instanceId, { order, untilMs: monotonicNowMs() + options.reportLagMs });
+        unverified.set(instanceId, { order, untilMs: monotonicNowMs() + options.reportLagMs });
         return;
       case 'failed':
         if (reply.effect === 'unknown') {
-          // It may still run: the worker is busy until it confirms that nothing does.
+          // The order may still be running: the worker counts as busy until it confirms that none is.
           confirmations.delete(instanceId);
         }
         noteFailure(instanceId, order, reply);
@@ -150,26 +156,26 @@
     if (inFlight.has(instanceId)) {
       return true;
     }
-    settle(instanceId, state);
+    verify(instanceId, state);
     return (
-      unsettled.has(instanceId) ||
+      unverified.has(instanceId) ||
       (confirmed && state !== undefined && !isConfirmed(instanceId, state))
     );
   }
 
-  function settle(instanceId: string, state: WorkerState | undefined): void {
-    const waiting = unsettled.get(instanceId);
-    if (waiting !== undefined && state !== undefined && showsEffect(state, waiting.order)) {
-      unsettled.delete(instanceId);
+  function verify(instanceId: string, state: WorkerState | undefined): void {
+    const waiting = unverified.get(instanceId);
+    if (waiting !== undefined && state !== undefined && hasTakenEffect(state, waiting.order)) {
+      unverified.delete(instanceId);
       failures.delete(instanceId);
     } else if (waiting !== undefined && waiting.untilMs <= monotonicNowMs()) {
-      unsettled.delete(instanceId);
-      noteFailure(instanceId, waiting.order, withoutEffect);
+      unverified.delete(instanceId);
+      noteFailure(instanceId, waiting.order, noEffectReply);
     }
   }
 
   function retain(instanceIds: ReadonlySet<string>): void {
-    [unsettled, failures, confirmations].forEach((map) =>
+    [unverified, failures, confirmations].forEach((map) =>
       [...map.keys()].filter((id) => !instanceIds.has(id)).forEach((id) => map.delete(id)),
     );
   }
@@ -189,8 +195,8 @@
   return `orders/${service}`;
 }
 
-/** Whether the worker reports what the order asked for. */
-export function showsEffect(state: WorkerState, order: EngineOrder): boolean {
+/** Whether the worker's state shows the result of the order. */
+export function hasTakenEffect(state: WorkerState, order: EngineOrder): boolean {
   switch (order.kind) {
     case 'load-model':
       return state.models.some(
@@ -213,14 +219,14 @@
   );
 }
 
-/** A restarted worker has to confirm again. */
+/** Includes the incarnation, so that a restarted worker has to confirm again. */
 function confirmationOf(fencingNumber: number, state: WorkerState): string {
   return `${fencingNumber}/${state.incarnation}`;
 }
 
-const withoutEffect: OrderReply = {
+const noEffectReply: OrderReply = {
   kind: 'failed',
   detail: 'done, but the worker does not report it',
   effect: 'none',
 };
-const unknownOutcome: OrderReply = { kind: 'failed', detail: 'no answer', effect: 'unknown' };
+const unknownOutcomeReply: OrderReply = { kind: 'failed', detail: 'no answer', effect: 'unknown' };
--- a/packages/duties/src/planOrders.ts
+++ b/packages/duties/src/planOrders.ts
@@ -1,6 +1,6 @@
 /**
- * The next orders that bring a service's workers toward its document. Pure, and made from nothing but
- * what the workers report, so that any holder continues where another one died.
+ * Plans the next orders that bring a service's workers toward its document. Pure, and based only on what the workers
+ * report, so that any holder can continue where another one died.
  */
 import type { ServiceDocument } from '@bluebellhitch/document';
 import type { EngineOrder, WorkerRole, WorkerState } from '@bluebellhitch/protocol';
@@ -11,9 +11,9 @@
 export interface PlanOrdersOptions {
   document: ServiceDocument;
   workers: readonly WorkerView[];
-  /** Absent: roles stay as they are. */
-  wantedPrefillWorkers?: number;
-  /** Loads of this service from the weight store at once. */
+  /** Absent: roles do not change. */
+  targetPrefillWorkers?: number;
+  /** Concurrent loads of this service from the weight store. */
   maxConcurrentLoads: number;
 }
 
@@ -23,9 +23,9 @@
 }
 
 export interface OrderPlan {
-  /** At most one for each worker. */
+  /** At most one per worker. */
   orders: PlannedOrder[];
-  /** Workers that need an order, but must wait for the bounds. */
+  /** Workers that need an order but exceed the budget for now. */
   waitingCount: number;
 }
 
@@ -33,7 +33,7 @@
   serving: boolean;
 }
 
-interface Bounds {
+interface Budget {
   /** Workers that may still be taken out of service. */
   unavailable: number;
   loads: number;
@@ -43,33 +43,36 @@
   const { document, workers } = options;
   const candidates = findCandidates(options);
   const limit = unavailableLimit(document, workers.length);
-  const outCount = workers.filter((worker) => !isServing(worker, document)).length;
-  const bounds: Bounds = {
-    unavailable: limit - outCount,
+  const unavailableCount = workers.filter((worker) => !isServing(worker, document)).length;
+  const budget: Budget = {
+    unavailable: limit - unavailableCount,
     loads: options.maxConcurrentLoads - workers.filter(({ busy }) => busy).length,
   };
-  const chosen = candidates.filter((candidate) => takeFromBounds(candidate, bounds));
-  const takenOut = chosen.filter(
+  const selected = candidates.filter((candidate) => reserveBudget(candidate, budget));
+  const takenOutCount = selected.filter(
     ({ serving, order }) => serving && takesOutOfService(order),
   ).length;
-  invariant(takenOut === 0 || outCount + takenOut <= limit, 'a rollout keeps to its bound');
+  invariant(
+    takenOutCount === 0 || unavailableCount + takenOutCount <= limit,
+    'a rollout stays within its limit of unavailable workers',
+  );
   return {
-    orders: chosen.map(({ instanceId, order }) => ({ instanceId, order })),
-    waitingCount: candidates.length - chosen.length,
+    orders: selected.map(({ instanceId, order }) => ({ instanceId, order })),
+    waitingCount: candidates.length - selected.length,
   };
 }
 
-/** At least one, because otherwise a service with few workers could never change. */
+/** Workers that may be out of service at once: at least one, or a service with few workers could never change. */
 export function unavailableLimit(document: ServiceDocument, workerCount: number): number {
   return Math.max(1, Math.floor(document.rollout.maxUnavailableShare * workerCount));
 }
 
-/** Workers that serve nobody come first: bringing them up costs no capacity. */
+/** Workers that are not serving come first: ordering them costs no capacity. */
 function findCandidates(options: PlanOrdersOptions): Candidate[] {
-  const { document, workers, wantedPrefillWorkers } = options;
+  const { document, workers, targetPrefillWorkers } = options;
   const orderable = workers.filter(isOrderable);
   const roles: RoleChanges =
-    wantedPrefillWorkers === undefined ? new Map() : assignRoles(orderable, wantedPrefillWorkers);
+    targetPrefillWorkers === undefined ? new Map() : assignRoles(orderable, targetPrefillWorkers);
   return orderable
     .filter(({ busy, deferred }) => !busy && !deferred)
     .flatMap((worker) => candidateFor(worker, document, roles.get(worker.instanceId)))
@@ -91,7 +94,7 @@
   return order === undefined ? [] : [{ instanceId, order, serving }];
 }
 
-/** Models before adapters, which need them; the role last, so that a worker changes it fully loaded. */
+/** Models come before the adapters that need them; the role comes last, when the worker is fully loaded. */
 function nextOrder(
   state: WorkerState,
   document: ServiceDocument,
@@ -141,15 +144,15 @@
   return adapters.some((other) => other.model === model && other.adapter === adapter);
 }
 
-/** Whether the order fits; what it uses is taken off the bounds. */
-function takeFromBounds({ order, serving }: Candidate, bounds: Bounds): boolean {
+/** Whether the order fits the budget; if so, deducts what it uses. */
+function reserveBudget({ order, serving }: Candidate, budget: Budget): boolean {
   const unavailable = serving && takesOutOfService(order) ? 1 : 0;
   const loads = usesWeightStore(order) ? 1 : 0;
-  // A service below its bound already (workers died) may still get orders that cost no capacity.
-  const fits = (unavailable === 0 || bounds.unavailable >= 1) && (loads === 0 || bounds.loads >= 1);
+  // A service with too many workers out already (some died) still gets orders that cost no capacity.
+  const fits = (unavailable === 0 || budget.unavailable >= 1) && (loads === 0 || budget.loads >= 1);
   if (fits) {
-    bounds.unavailable -= unavailable;
-    bounds.loads -= loads;
+    budget.unavailable -= unavailable;
+    budget.loads -= loads;
   }
   return fits;
 }
--- a/packages/duties/src/reconcileQueue.ts
+++ b/packages/duties/src/reconcileQueue.ts
@@ -1,23 +1,22 @@
 /**
- * A queue of keys to reconcile. A key waits at most once, runs at most once at a time, and runs again
- * where it was added while it ran, so that the last change is always seen. Bounded by the number of
- * distinct keys.
+ * A queue of keys to reconcile. A key is queued at most once and handled at most once at a time. A key that is added
+ * while it is being handled is handled again, so that no change is missed. The number of distinct keys bounds the size.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
 export interface ReconcileQueueOptions {
-  /** `retry`: the key comes back after `retryDelayMs`. */
+  /** `retry`: the key is queued again after `retryDelayMs`. */
   handle(key: string): Promise<'done' | 'retry'>;
-  /** Keys in work at once. */
+  /** Keys that are handled concurrently. */
   concurrency?: number;
   retryDelayMs?: number;
 }
 
 export interface ReconcileQueue {
   add(key: string): void;
-  /** Drops everything that waits; keys in work finish. */
+  /** Drops all waiting keys; keys that are being handled finish. */
   close(): void;
-  /** Keys that wait, run or will be retried. */
+  /** Number of keys that are waiting, being handled or due for a retry. */
   size(): number;
 }
 
@@ -27,10 +26,10 @@
   const running = new Set<string>();
   const retryAtMs = new Map<string, number>();
   let timer: NodeJS.Timeout | undefined;
-  let closed = false;
+  let isClosed = false;
 
   function add(key: string): void {
-    if (!closed) {
+    if (!isClosed) {
       retryAtMs.delete(key);
       waiting.add(key);
       startNext();
@@ -49,7 +48,7 @@
   async function run(key: string): Promise<void> {
     const outcome = await handle(key);
     running.delete(key);
-    if (outcome === 'retry' && !closed && !waiting.has(key)) {
+    if (outcome === 'retry' && !isClosed && !waiting.has(key)) {
       retryAtMs.set(key, monotonicNowMs() + retryDelayMs);
       timer ??= setTimeout(addDue, retryDelayMs);
     }
@@ -61,13 +60,13 @@
     const nowMs = monotonicNowMs();
     const due = [...retryAtMs].filter(([, atMs]) => atMs <= nowMs).map(([key]) => key);
     due.forEach(add);
-    if (retryAtMs.size > 0 && !closed) {
+    if (retryAtMs.size > 0 && !isClosed) {
       timer = setTimeout(addDue, retryDelayMs);
     }
   }
 
   function close(): void {
-    closed = true;
+    isClosed = true;
     clearTimeout(timer);
     waiting.clear();
     retryAtMs.clear();
--- a/packages/duties/src/roleAssignment.ts
+++ b/packages/duties/src/roleAssignment.ts
@@ -1,20 +1,20 @@
-/** Which workers should change their role to reach a wanted number of prefill workers. */
+/** Selects the workers that change their role to reach the target number of prefill workers. */
 import type { WorkerRole } from '@bluebellhitch/protocol';
 import type { OrderableWorker } from './workerView';
 
-/** Roles by instance id, for workers that should change only. */
+/** New roles by instance id, only for workers that change. */
 export type RoleChanges = ReadonlyMap<string, WorkerRole>;
 
 /**
- * Changes as few workers as possible, and spreads the prefill role over the data centres. A worker in
- * the role `both` counts as a decode worker. At least one worker stays able to decode.
+ * Changes as few workers as possible, and spreads the prefill role over the data centres. A worker in the role `both`
+ * counts as a decode worker. At least one worker always remains able to decode.
  */
 export function assignRoles(
   workers: readonly OrderableWorker[],
-  wantedPrefillWorkers: number,
+  targetPrefillWorkers: number,
 ): RoleChanges {
-  const wanted = Math.min(wantedPrefillWorkers, workers.length - 1);
-  if (wanted <= 0) {
+  const target = Math.min(targetPrefillWorkers, workers.length - 1);
+  if (target <= 0) {
     return rolesFor(
       workers.filter(({ state }) => state.role !== 'both'),
       'both',
@@ -22,16 +22,16 @@
   }
   const prefill = workers.filter(({ state }) => state.role === 'prefill');
   const others = workers.filter(({ state }) => state.role !== 'prefill');
-  return prefill.length < wanted
-    ? rolesFor(pickSpread(others, prefill, wanted - prefill.length, 1), 'prefill')
-    : rolesFor(pickSpread(prefill, prefill, prefill.length - wanted, -1), 'decode');
+  return prefill.length < target
+    ? rolesFor(selectSpread(others, prefill, target - prefill.length, 1), 'prefill')
+    : rolesFor(selectSpread(prefill, prefill, prefill.length - target, -1), 'decode');
 }
 
 /**
- * Picks `count` candidates one by one: each from the data centre with the fewest (`direction` 1) or
- * the most (-1) prefill workers at that point.
+ * Selects `count` candidates one by one, each from the data centre with the fewest (`direction` 1) or most (-1) prefill
+ * workers at that point.
  */
-function pickSpread(
+function selectSpread(
   candidates: readonly OrderableWorker[],
   prefill: readonly OrderableWorker[],
   count: number,
@@ -39,17 +39,17 @@
 ): OrderableWorker[] {
   const prefillCounts = countByDataCentre(prefill);
   const countIn = (worker: OrderableWorker) => prefillCounts.get(worker.dataCentre) ?? 0;
-  let left = candidates.filter(({ deferred }) => !deferred);
-  return Array.from({ length: Math.min(count, left.length) }).flatMap(() => {
-    const [picked] = [...left].sort(
+  let remaining = candidates.filter(({ deferred }) => !deferred);
+  return Array.from({ length: Math.min(count, remaining.length) }).flatMap(() => {
+    const [selected] = [...remaining].sort(
       (a, b) => direction * (countIn(a) - countIn(b)) || a.instanceId.localeCompare(b.instanceId),
     );
-    if (picked === undefined) {
+    if (selected === undefined) {
       return [];
     }
-    left = left.filter((worker) => worker !== picked);
-    prefillCounts.set(picked.dataCentre, countIn(picked) + direction);
-    return [picked];
+    remaining = remaining.filter((worker) => worker !== selected);
+    prefillCounts.set(selected.dataCentre, countIn(selected) + direction);
+    return [selected];
   });
 }
 
--- a/packages/duties/src/roleBalance.ts
+++ b/packages/duties/src/roleBalance.ts
@@ -1,10 +1,10 @@
 /**
- * How many workers of a service should be in the prefill role, from the pressure on both pools. Pure:
- * the caller keeps the state and passes the time.
+ * Computes how many workers of a service should be in the prefill role, from the pressure on both pools. Pure: the
+ * caller keeps the state and passes the time.
  */
 import type { LoadHint } from '@bluebellhitch/protocol';
 
-/** 0: no waiting; 1: waiting alone uses up the target. */
+/** 0: no waiting; 1: the waiting time alone uses up the latency target. */
 export interface PoolPressure {
   prefill: number;
   decode: number;
@@ -15,28 +15,28 @@
   betweenTokensMs: number;
 }
 
-/** Kept between two observations; begin with `{}`. */
+/** State between two observations; initially `{}`. */
 export interface RoleBalanceState {
-  /** Workers wanted in the prefill role since the last move. */
+  /** Target number of prefill workers since the last move. */
   target?: number;
-  leaning?: 'to-prefill' | 'to-decode';
-  leaningSinceMs?: number;
+  direction?: 'to-prefill' | 'to-decode';
+  directionSinceMs?: number;
   movedAtMs?: number;
 }
 
 export interface RoleBalanceOptions {
-  /** Difference of pressures that makes a move worth its cost. */
-  enterDifference?: number;
-  /** A pool above this pressure gives no worker away: moving would only shift the overload. */
-  giverLimit?: number;
-  /** The difference must last this long, so that a burst moves nothing. */
+  /** Smallest difference of pressures at which a move is worth its cost. */
+  minDifference?: number;
+  /** A pool above this pressure gives up no worker: moving one would only shift the overload. */
+  maxDonorPressure?: number;
+  /** Time that the difference must last, so that a burst causes no move. */
   holdMs?: number;
-  /** Pause after a move, for its effect to show before the next. */
+  /** Pause after a move, so that its effect shows before the next one. */
   cooldownMs?: number;
 }
 
 export interface RoleBalanceInput {
-  /** Absent where a pool has no worker that answered. */
+  /** Absent if a pool has no worker that responded. */
   pressure?: PoolPressure;
   prefillCount: number;
   workerCount: number;
@@ -46,13 +46,13 @@
 }
 
 export interface RoleBalance {
-  wantedPrefillWorkers: number;
+  targetPrefillWorkers: number;
   state: RoleBalanceState;
 }
 
-const defaults = { enterDifference: 0.3, giverLimit: 0.5, holdMs: 30_000, cooldownMs: 120_000 };
+const defaults = { minDifference: 0.3, maxDonorPressure: 0.5, holdMs: 30_000, cooldownMs: 120_000 };
 
-/** Mean pressure of each pool; undefined where one of them is empty. */
+/** Mean pressure of each pool; undefined if one of them is empty. */
 export function measurePressure(
   loads: readonly LoadHint[],
   targets: LatencyTargets,
@@ -68,47 +68,47 @@
     : { prefill: mean(prefill), decode: mean(decode) };
 }
 
-/** Moves at most one worker at a time. Never empties the decode pool, nor a prefill pool that exists. */
+/** Moves at most one worker at a time. Never empties the decode pool, nor the prefill pool if there is one. */
 export function balanceRoles(input: RoleBalanceInput): RoleBalance {
   const { pressure, workerCount, nowMs } = input;
   const limits = { ...defaults, ...input.options };
   const target = clampTarget(input.state.target ?? input.prefillCount, workerCount);
-  const leaning = pressure && leaningOf(pressure, limits);
-  const state = leanedState({ ...input.state, target }, leaning, nowMs);
+  const direction = pressure && directionOf(pressure, limits);
+  const state = withDirection({ ...input.state, target }, direction, nowMs);
   const isDue =
-    leaning !== undefined &&
-    nowMs - (state.leaningSinceMs ?? nowMs) >= limits.holdMs &&
+    direction !== undefined &&
+    nowMs - (state.directionSinceMs ?? nowMs) >= limits.holdMs &&
     nowMs - (state.movedAtMs ?? -Infinity) >= limits.cooldownMs;
   if (!isDue) {
-    return { wantedPrefillWorkers: target, state };
+    return { targetPrefillWorkers: target, state };
   }
-  const moved = target + (leaning === 'to-prefill' ? 1 : -1);
-  const wantedPrefillWorkers = Math.max(1, clampTarget(moved, workerCount));
-  return wantedPrefillWorkers === target
-    ? { wantedPrefillWorkers, state }
-    : { wantedPrefillWorkers, state: { target: wantedPrefillWorkers, movedAtMs: nowMs } };
+  const moved = target + (direction === 'to-prefill' ? 1 : -1);
+  const targetPrefillWorkers = Math.max(1, clampTarget(moved, workerCount));
+  return targetPrefillWorkers === target
+    ? { targetPrefillWorkers, state }
+    : { targetPrefillWorkers, state: { target: targetPrefillWorkers, movedAtMs: nowMs } };
 }
 
-function leaningOf(
+function directionOf(
   pressure: PoolPressure,
   limits: Required<RoleBalanceOptions>,
-): RoleBalanceState['leaning'] {
+): RoleBalanceState['direction'] {
   const difference = pressure.prefill - pressure.decode;
-  if (difference >= limits.enterDifference && pressure.decode <= limits.giverLimit) {
+  if (difference >= limits.minDifference && pressure.decode <= limits.maxDonorPressure) {
     return 'to-prefill';
   }
-  if (-difference >= limits.enterDifference && pressure.prefill <= limits.giverLimit) {
+  if (-difference >= limits.minDifference && pressure.prefill <= limits.maxDonorPressure) {
     return 'to-decode';
   }
   return undefined;
 }
 
-function leanedState(
+function withDirection(
   state: RoleBalanceState,
-  leaning: RoleBalanceState['leaning'],
+  direction: RoleBalanceState['direction'],
   nowMs: number,
 ): RoleBalanceState {
-  return leaning === state.leaning ? state : { ...state, leaning, leaningSinceMs: nowMs };
+  return direction === state.direction ? state : { ...state, direction, directionSinceMs: nowMs };
 }
 
 function clampTarget(target: number, workerCount: number): number {
--- a/packages/duties/src/routeConflicts.ts
+++ b/packages/duties/src/routeConflicts.ts
@@ -1,11 +1,11 @@
-/** Checks between documents: findings that one document alone cannot show. */
+/** Checks of a document against its key and the documents of other services. */
 import type { Route, ServiceDocument } from '@bluebellhitch/document';
 import type { Finding } from '@bluebellhitch/shared';
 
-/** Routes in force, by service. */
+/** Routes in force by service. */
 export type RoutesByService = ReadonlyMap<string, readonly Route[]>;
 
-/** The `service` field must name the object that holds the document. */
+/** The `service` field must equal the key of the object that contains the document. */
 export function findKeyMismatch(key: string, document: ServiceDocument): Finding[] {
   if (document.service === key) {
     return [];
@@ -19,7 +19,7 @@
   ];
 }
 
-/** One finding for each route that another service has in force. */
+/** One finding for each route and other service that has it in force. */
 export function findRouteConflicts(document: ServiceDocument, inForce: RoutesByService): Finding[] {
   const others = [...inForce].filter(([service]) => service !== document.service);
   return document.routes.flatMap((route, index) =>
--- a/packages/duties/src/serviceStatus.ts
+++ b/packages/duties/src/serviceStatus.ts
@@ -1,4 +1,4 @@
-/** The `status` object of a service: what became of the operators' last edit. */
+/** The `status` object of a service: the result of the operators' last edit. */
 import * as z from 'zod';
 
 const findingSchema = z.object({
@@ -10,12 +10,12 @@
 });
 
 export const serviceStatusSchema = z.object({
-  /** Version of the `document` object that this status speaks about. */
+  /** Version of the `document` object that this status refers to. */
   documentVersion: z.number().int().nonnegative(),
   state: z.enum(['accepted', 'rejected']),
-  /** Generation in force: of this edit where accepted, of the last accepted one where rejected; 0: none. */
+  /** Generation in force: of this edit if accepted, of the last accepted edit if rejected; 0: none. */
   generation: z.number().int().nonnegative(),
-  /** Why the edit was rejected, or what operators should know about an accepted one. */
+  /** Why the edit was rejected, or warnings about an accepted one. */
   findings: z.array(findingSchema),
 });
 export type ServiceStatus = z.infer<typeof serviceStatusSchema>;
--- a/packages/duties/src/startDuties.ts
+++ b/packages/duties/src/startDuties.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the duties that need one holder at a time inside an entry: accepting documents, and ordering
- * the workers of each model service. Starts and stops competing as the list of instances and the
- * accepted documents change.
+ * Runs an entry's part in the duties that have one holder at a time: accepting documents, and sending orders to the
+ * workers of each model service. Starts and stops competing for their leases as the list of instances and the accepted
+ * documents change.
  */
 import { parseDocument } from '@bluebellhitch/document';
 import {
@@ -15,21 +15,25 @@
 import { silentLogger, type DutyLogger } from './dutyLogger';
 import { createDutyRanks } from './dutyRanks';
 import type { OrderAgentClient } from './orderAgentClient';
-import { createOrderHolder, type DocumentInForce, type OrderHolderSettings } from './orderHolder';
+import {
+  createOrderReconciler,
+  type ActiveDocument,
+  type OrderReconcilerSettings,
+} from './orderReconciler';
 import { orderLeaseKey } from './orderSender';
 
 export interface StartDutiesOptions {
   platform: PlatformApi;
   /** The entry's instance id. */
   holderId: string;
-  /** The list of instances as this entry knows it. */
+  /** The list of instances as known to this entry. */
   instances(): readonly PlatformInstance[];
   /** The accepted documents that this entry has applied. */
-  documents(): readonly DocumentInForce[];
+  documents(): readonly ActiveDocument[];
   agentClient: OrderAgentClient;
   logger?: DutyLogger;
   random?: Random;
-  orderSettings?: Partial<OrderHolderSettings>;
+  orderSettings?: Partial<OrderReconcilerSettings>;
 }
 
 export interface Duties {
@@ -40,14 +44,17 @@
 /** Lease key of the accepting duty: one for the whole fleet, see docs/design/configuration.md. */
 export const acceptLeaseKey = 'accept';
 
-/** The holder and two that take over within seconds. */
+/** Entries that compete for the accepting duty: the holder and two that can take over within seconds. */
 const acceptCompetitors = 3;
-/** An order may wait until the list of instances has dropped a dead holder; one more for the lag. */
+/**
+ * Entries that compete for an order duty. Orders may wait until the list of instances has dropped a crashed holder; the
+ * second competitor covers the lag of the list.
+ */
 const orderCompetitors = 2;
 const rankIntervalMs = 1000;
 /**
- * Short, so that documents are accepted within seconds of the holder's death, and long enough to be
- * renewed while the platform takes most of a second to answer.
+ * Short enough for documents to be accepted within seconds of the holder's crash, and long enough to be renewed while
+ * the platform takes most of a second to respond.
  */
 const acceptLease = { ttlMs: 3000, marginMs: 500, renewMs: 600, contendMs: 600 };
 const orderLease = { ttlMs: 6000, marginMs: 1500, renewMs: 1500, contendMs: 3000 };
@@ -62,25 +69,27 @@
   const { logger = silentLogger, random = Math.random } = options;
   /** By lease key. */
   const running = new Map<string, RunningDuty>();
-  /** Duties that stop; one starts anew only when its earlier run has ended. */
+  /** Duties that are stopping; a duty starts again only after its earlier run has ended. */
   const stopping = new Map<string, Promise<void>>();
   const rankOf = createDutyRanks(holderId, instances);
-  const timer = setInterval(competeByRank, rankIntervalMs);
-  competeByRank();
+  const timer = setInterval(updateDuties, rankIntervalMs);
+  updateDuties();
 
-  function competeByRank(): void {
-    compete(acceptLeaseKey, rankOf(acceptLeaseKey), acceptCompetitors, startAcceptor);
+  function updateDuties(): void {
+    startOrStopDuty(acceptLeaseKey, rankOf(acceptLeaseKey), acceptCompetitors, startAcceptor);
     const services = documents().map(({ document }) => document);
     services
       .filter(({ kind }) => kind === 'model')
       .forEach(({ service, dataCentres }) => {
         const key = orderLeaseKey(service);
-        compete(key, rankOf(key, dataCentres), orderCompetitors, () => startOrders(service));
+        startOrStopDuty(key, rankOf(key, dataCentres), orderCompetitors, () =>
+          startOrderReconciler(service),
+        );
       });
   }
 
-  /** A holder keeps its duty when others come before it, so that new entries move no duties. */
-  function compete(
+  /** A holder keeps its duty even when other entries outrank it, so that new entries do not cause duties to move. */
+  function startOrStopDuty(
     key: string,
     rank: number | undefined,
     competitors: number,
@@ -111,31 +120,32 @@
     return runTask(lease, acceptor.run);
   }
 
-  function startOrders(service: string): RunningDuty {
+  function startOrderReconciler(service: string): RunningDuty {
     const lease = createLease(orderLeaseKey(service), orderLease);
-    const find = () => documents().find(({ document }) => document.service === service);
-    const holder = createOrderHolder({
+    const findDocument = () => documents().find(({ document }) => document.service === service);
+    const reconciler = createOrderReconciler({
       service,
       holderId,
       lease,
       agentClient,
-      document: find,
-      instances: () => instances().filter((one) => one.kind === 'agent' && one.service === service),
-      rank: () => rankOf(orderLeaseKey(service), find()?.document.dataCentres) ?? 0,
+      document: findDocument,
+      instances: () =>
+        instances().filter((instance) => instance.kind === 'agent' && instance.service === service),
+      rank: () => rankOf(orderLeaseKey(service), findDocument()?.document.dataCentres) ?? 0,
       logger,
       random,
       settings: options.orderSettings,
     });
-    return runTask(lease, holder.run);
+    return runTask(lease, reconciler.run);
   }
 
   function runTask(lease: DutyLease, run: (signal: AbortSignal) => Promise<void>): RunningDuty {
-    const aborting = new AbortController();
-    const ended = run(aborting.signal);
+    const abortController = new AbortController();
+    const ended = run(abortController.signal);
     return {
       lease,
       stop: async () => {
-        aborting.abort();
+        abortController.abort();
         await ended;
         await lease.stop();
       },
@@ -150,7 +160,7 @@
       random,
       ...times,
       onAcquired: (fencingNumber) => logger.info('duty acquired', { key, fencingNumber }),
-      onLost: (fencingNumber) => logger.info('duty given up', { key, fencingNumber }),
+      onLost: (fencingNumber) => logger.info('duty lost or released', { key, fencingNumber }),
     });
   }
 
--- a/packages/duties/src/workerObserver.ts
+++ b/packages/duties/src/workerObserver.ts
@@ -1,11 +1,11 @@
-/** Asks the workers of a service what they run, a bounded number of them at once. */
+/** Queries the workers of a service for their state, with bounded concurrency. */
 import type { PlatformInstance } from '@bluebellhitch/objects';
 import type { LoadHint, WorkerState } from '@bluebellhitch/protocol';
 import type { OrderAgentClient } from './orderAgentClient';
 
 export interface ObservedWorker {
   instance: PlatformInstance;
-  /** Absent where it did not answer. */
+  /** Absent if the worker did not respond. */
   state?: WorkerState;
   load?: LoadHint;
 }
@@ -14,7 +14,7 @@
   instances: readonly PlatformInstance[];
   agentClient: Pick<OrderAgentClient, 'workerState' | 'load'>;
   service: string;
-  /** Whether to ask for loads as well; roles that the document fixes need none. */
+  /** Whether to query loads as well; they are not needed if the document fixes the roles. */
   withLoad: boolean;
   concurrency?: number;
 }
--- a/packages/duties/src/workerView.ts
+++ b/packages/duties/src/workerView.ts
@@ -1,28 +1,28 @@
-/** A worker of a model service as the order holder sees it. */
+/** A worker of a model service as the order reconciler sees it. */
 import type { ServiceDocument } from '@bluebellhitch/document';
 import type { WorkerState } from '@bluebellhitch/protocol';
 
 export interface WorkerView {
   instanceId: string;
   dataCentre: string;
-  /** What the worker reported; absent where it did not answer. */
+  /** Reported by the worker; absent if it did not respond. */
   state?: WorkerState;
-  /** The instance list or the document says that it leaves. */
+  /** Whether it is leaving according to the list of instances or the document. */
   leaving: boolean;
-  /** An order may still be running there. */
+  /** Whether an order may still be running there. */
   busy: boolean;
-  /** An order failed there lately: it gets no other one yet. */
+  /** Whether it gets no order for now because a recent one failed. */
   deferred: boolean;
 }
 
-/** A worker that answers and stays, so that orders to it make sense. */
+/** A worker that responds and is not leaving, so that it can be sent orders. */
 export type OrderableWorker = WorkerView & { state: WorkerState };
 
 export function isOrderable(worker: WorkerView): worker is OrderableWorker {
   return worker.state !== undefined && !worker.leaving && !worker.state.leaving;
 }
 
-/** Whether the worker can answer requests of the service now, with whatever version. */
+/** Whether the worker can serve requests now, with any version of one of the service's models. */
 export function isServing(worker: WorkerView, document: ServiceDocument): boolean {
   return (
     isOrderable(worker) &&
--- a/packages/membership/__tests__/feedClient.test.ts
+++ b/packages/membership/__tests__/feedClient.test.ts
@@ -5,15 +5,15 @@
 import { createFeedClient } from '@bluebellhitch/membership';
 
 const key = { id: 'k1', secret: 'the-secret-that-the-whole-fleet-knows' };
-const strangerKey = { id: 'k1', secret: 'a-secret-that-a-stranger-made-up-here' };
+const impostorKey = { id: 'k1', secret: 'a-secret-that-a-stranger-made-up-here' };
 const relay = createInnerSecurity({ keys: [key], instanceId: 'entry-1' });
 const follower = createInnerSecurity({ keys: [key], instanceId: 'agent-1' });
-const stranger = createInnerSecurity({ keys: [strangerKey], instanceId: 'entry-1' });
+const impostor = createInnerSecurity({ keys: [impostorKey], instanceId: 'entry-1' });
 
 const genuine = JSON.stringify({ result: { data: { records: [], cursor: '1', snapshot: false } } });
 const forged = genuine.replace('"1"', '"2"');
 
-async function pollOf(t: ExecutionContext, text: string, seal: string | undefined) {
+async function pollServer(t: ExecutionContext, text: string, seal: string | undefined) {
   const server = createServer((_incoming, outgoing) => {
     outgoing.writeHead(200, {
       'content-type': 'application/json',
@@ -32,16 +32,16 @@
   return reply.isOk();
 }
 
-const sealOf = (security: InnerSecurity, text: string) => security.seal(text);
+const createSeal = (security: InnerSecurity, text: string) => security.seal(text);
 
-// An entry's instance is replaced and a stranger gets its address. Followers go on polling it until the list
-// of instances has caught up; none of its answers may bring a document into force.
-test('a stranger at the address of an entry cannot feed documents', async (t) => {
-  t.true(await pollOf(t, genuine, await sealOf(relay, genuine)));
-  t.false(await pollOf(t, forged, undefined));
-  t.false(await pollOf(t, forged, await sealOf(stranger, forged)));
-  t.false(await pollOf(t, forged, await sealOf(relay, genuine)));
-  // The stranger has the follower's own token from its poll.
+// An entry is replaced and an impostor gets its address. Followers go on polling that address until the list of
+// instances has caught up; none of the impostor's responses may put a document into force.
+test('an impostor at the address of an entry cannot feed documents', async (t) => {
+  t.true(await pollServer(t, genuine, await createSeal(relay, genuine)));
+  t.false(await pollServer(t, forged, undefined));
+  t.false(await pollServer(t, forged, await createSeal(impostor, forged)));
+  t.false(await pollServer(t, forged, await createSeal(relay, genuine)));
+  // The impostor has the follower's own token from its poll.
   const bearer = (await follower.bearer('feed')) ?? '';
-  t.false(await pollOf(t, forged, bearer.slice('Bearer '.length)));
+  t.false(await pollServer(t, forged, bearer.slice('Bearer '.length)));
 });
--- a/packages/membership/__tests__/feedFollower.test.ts
+++ b/packages/membership/__tests__/feedFollower.test.ts
@@ -20,26 +20,26 @@
 import { createSeededRandom, delay, hash64, monotonicNowMs } from '@bluebellhitch/shared';
 import { createStandinPlatform } from '@bluebellhitch/standins';
 
-const quiet = (cursor: string): WatchReply => ({ events: [], cursor, compacted: false });
+const emptyReply = (cursor: string): WatchReply => ({ events: [], cursor, compacted: false });
 
-const noAnswer: FeedCallError = { kind: 'feed-unavailable', detail: 'no answer' };
+const unavailable: FeedCallError = { kind: 'feed-unavailable', detail: 'no answer' };
 
 type Fleet = ReturnType<typeof createFleet>;
 
-/** Entries of one data centre over an in-memory platform, which poll one another by function calls. */
+/** Entries of one data centre over an in-memory platform, which poll each other by function calls. */
 function createFleet() {
   const platform = createStandinPlatform({ latencyMs: 2 });
   const servers = new Map<string, ReturnType<typeof createFeedServer>>();
-  /** Addresses that refuse at once, and addresses that take a call and never answer it. */
-  const silent = new Set<string>();
-  const frozen = new Set<string>();
+  /** Addresses that refuse calls at once, and addresses that accept calls and never respond. */
+  const refusing = new Set<string>();
+  const unresponsive = new Set<string>();
   const callFeed: CallFeed = (address, request, signal) => {
     const server = servers.get(address);
-    if (frozen.has(address)) {
-      return ResultAsync.fromSafePromise(delay(600_000, signal)).andThen(() => err(noAnswer));
+    if (unresponsive.has(address)) {
+      return ResultAsync.fromSafePromise(delay(600_000, signal)).andThen(() => err(unavailable));
     }
-    return server === undefined || silent.has(address)
-      ? errAsync(noAnswer)
+    return server === undefined || refusing.has(address)
+      ? errAsync(unavailable)
       : ResultAsync.fromSafePromise(server.feed(request, signal));
   };
 
@@ -77,7 +77,7 @@
       : platform.create('accepted', 'draft-models', { generation });
     return (await written)._unsafeUnwrap();
   };
-  return { platform, silent, frozen, addEntry, accept };
+  return { platform, refusing, unresponsive, addEntry, accept };
 }
 
 function testWithFleet(
@@ -130,22 +130,22 @@
   },
 );
 
-// One relay's watch hangs, and it goes on answering polls with nothing new. Its followers and the
-// relay itself would stay on the old configuration; so each process follows two sources.
-testWithFleet('a relay that lags does not hold a change back', async (t, clock, fleet) => {
-  let hungId = '';
+// One relay's watch hangs, and its responses to polls have no changes. With this relay as the only source, its
+// followers and the relay itself would stay on the old configuration.
+testWithFleet('a relay that lags does not delay a change', async (t, clock, fleet) => {
+  let hangingId = '';
   const entries = Array.from({ length: 8 }, (_, index) => {
     const id = `entry-${index}`;
     const watch: PlatformApi['watch'] = (kind, cursor, waitMs, signal) =>
-      id === hungId
-        ? ResultAsync.fromSafePromise(delay(waitMs, signal)).map(() => quiet(cursor))
+      id === hangingId
+        ? ResultAsync.fromSafePromise(delay(waitMs, signal)).map(() => emptyReply(cursor))
         : fleet.platform.watch(kind, cursor, waitMs, signal);
     return fleet.addEntry(id, { platform: { ...fleet.platform, watch } });
   });
   entries.forEach((entry) => entry.start());
   await clock.tickAsync(20_000);
-  hungId = entries.find(({ follower }) => follower.source() === 'platform-watch')?.id ?? '';
-  t.not(hungId, '');
+  hangingId = entries.find(({ follower }) => follower.source() === 'platform-watch')?.id ?? '';
+  t.not(hangingId, '');
   await clock.tickAsync(60_000);
   await settled(clock, fleet.accept(1));
   await clock.tickAsync(2900);
@@ -156,14 +156,14 @@
   await stopAll(clock, entries);
 });
 
-// A relay's process is paused: polls of it are taken and not answered for half a minute. A follower of
-// it alone would learn of a change only after that.
-testWithFleet('a paused relay does not hold a change back', async (t, clock, fleet) => {
+// A paused relay accepts polls and does not respond for half a minute. A process that followed only this relay would
+// receive a change after that time at the earliest.
+testWithFleet('a paused relay does not delay a change', async (t, clock, fleet) => {
   const entries = addEntries(fleet, 8);
   await clock.tickAsync(60_000);
   const relay = entries.find(({ follower }) => follower.source() === 'platform-watch');
   const others = entries.filter((entry) => entry !== relay);
-  fleet.frozen.add(relay?.innerAddress ?? '');
+  fleet.unresponsive.add(relay?.innerAddress ?? '');
   await Promise.all([relay?.stop(), clock.tickAsync(28_000)]);
   await settled(clock, fleet.accept(1));
   await clock.tickAsync(2900);
@@ -174,8 +174,8 @@
   await stopAll(clock, others);
 });
 
-// All relays stop answering while the list still shows them. Followers read the platform instead, at
-// a bounded rate, so that the fleet does not turn a relay's death into a storm of reads.
+// All relays stop responding while the list still has them. Followers read the platform instead, at a bounded rate, so
+// that the failure of relays does not cause a storm of reads.
 testWithFleet(
   'without relays a follower reads the platform, at a bounded rate',
   async (t, clock, fleet) => {
@@ -184,7 +184,7 @@
     const followers = entries.filter(({ follower }) => follower.source() === 'relays');
     entries
       .filter(({ follower }) => follower.source() === 'platform-watch')
-      .forEach(({ innerAddress }) => fleet.silent.add(innerAddress));
+      .forEach(({ innerAddress }) => fleet.refusing.add(innerAddress));
     await clock.tickAsync(30_000);
     fleet.platform.control.resetStats();
     await settled(clock, fleet.accept(1));
@@ -199,8 +199,8 @@
   },
 );
 
-// The platform is down when an entry starts. Its peers still have the last accepted configuration;
-// one of them lags, so the highest generation of two is taken.
+// The platform is down when an entry starts. Its peers still have the last accepted configuration; as one of them lags,
+// the entry must take the highest generation of two.
 testWithFleet(
   'a process starts from two peers while the platform is down',
   async (t, clock, fleet) => {
@@ -265,7 +265,7 @@
   await stopAll(clock, [agent, ...entries]);
 });
 
-test.serial('the feed client polls an entry over HTTP and gives up when told', async (t) => {
+test.serial('the feed client polls an entry over HTTP and stops when aborted', async (t) => {
   const store = createFeedStore();
   const feedServer = createFeedServer(store);
   const router = createEntryRouter({ feed: feedServer.feed, strike: async () => {} });
@@ -278,27 +278,33 @@
     server.close();
   });
   const callFeed = createFeedClient();
-  const gone = new AbortController();
-  const { cursor } = (await callFeed(address, { waitMs: 0 }, gone.signal))._unsafeUnwrap();
-  const waiting = callFeed(address, { cursor, waitMs: 10_000 }, gone.signal);
-  const news: FeedRecord = { kind: 'accepted', key: 'a', generation: 1, removed: false, value: {} };
-  setTimeout(() => store.apply([news]), 50);
-  t.deepEqual((await waiting)._unsafeUnwrap().records, [news]);
+  const caller = new AbortController();
+  const { cursor } = (await callFeed(address, { waitMs: 0 }, caller.signal))._unsafeUnwrap();
+  const waiting = callFeed(address, { cursor, waitMs: 10_000 }, caller.signal);
+  const update: FeedRecord = {
+    kind: 'accepted',
+    key: 'a',
+    generation: 1,
+    removed: false,
+    value: {},
+  };
+  setTimeout(() => store.apply([update]), 50);
+  t.deepEqual((await waiting)._unsafeUnwrap().records, [update]);
   const startedAtMs = monotonicNowMs();
   const abandoned = callFeed(
     address,
     { cursor: store.since().cursor, waitMs: 10_000 },
-    gone.signal,
+    caller.signal,
   );
-  setTimeout(() => gone.abort(), 50);
+  setTimeout(() => caller.abort(), 50);
   t.is((await abandoned)._unsafeUnwrapErr().kind, 'feed-unavailable');
   t.true(monotonicNowMs() - startedAtMs < 5000);
 });
 
-// Twenty entries would each read the list of instances every five seconds. Only the relays do; the
-// others have a new instance from them within seconds, without a read of their own.
+// Without relays, twenty entries would each read the list of instances every five seconds. Only the relays may do so;
+// the others must get a new instance from them within seconds, without a read of their own.
 testWithFleet(
-  'relays pass the list of instances on, and others do not read it',
+  'relays pass the list of instances on, and other entries do not read it',
   async (t, clock, fleet) => {
     const entries = addEntries(fleet, 20);
     await clock.tickAsync(40_000);
@@ -314,10 +320,10 @@
   },
 );
 
-// The platform is down when an entry starts, so that it has no list of instances and would stay
-// unready. A peer named by its settings gives it the last list that the fleet knew.
+// The platform is down when an entry starts, so that it cannot read the list of instances and would not become ready.
+// It must get the last known list from a peer in its settings.
 testWithFleet(
-  'a process has its list of instances from a peer while the platform is down',
+  'a process gets its list of instances from a peer while the platform is down',
   async (t, clock, fleet) => {
     const entries = addEntries(fleet, 3);
     await clock.tickAsync(30_000);
--- a/packages/membership/__tests__/feedStore.test.ts
+++ b/packages/membership/__tests__/feedStore.test.ts
@@ -11,7 +11,7 @@
   return store.since().records.sort((left, right) => left.key.localeCompare(right.key));
 }
 
-test('a delta holds what is newer than the cursor, and a foreign cursor gets everything', (t) => {
+test('a delta has what is newer than the cursor, and a foreign cursor gets a snapshot', (t) => {
   const store = createFeedStore();
   store.apply([record('a', 1), record('b', 1)]);
   const { cursor, snapshot } = store.since();
@@ -24,8 +24,8 @@
   t.is(store.since('another-process:1').records.length, 2);
 });
 
-// A relay that was cut off comes back and hands out the state of an hour ago: an older generation and
-// a record that has been removed since. Neither may come back into force.
+// A relay that was cut off for an hour serves its old state again: an older generation and a record that has been
+// removed since. Neither may come back into force.
 test('old copies and removed records do not come back', (t) => {
   const store = createFeedStore();
   store.apply([record('a', 5)]);
@@ -37,7 +37,7 @@
   t.is(store.apply([record('a', 6)]).applied.length, 1);
 });
 
-test('at its bound the store drops old quarantines, and never an accepted document', (t) => {
+test('a full store evicts old quarantines, and never an accepted document', (t) => {
   const store = createFeedStore({ bound: 3 });
   const quarantine = (key: string) => record(key, 1, { kind: 'quarantine' });
   store.apply([record('a', 1), quarantine('s/1'), quarantine('s/2')]);
@@ -50,10 +50,9 @@
   t.is(store.size(), 3);
 });
 
-// Deltas reach a process by two relays: reordered, repeated, some lost, some from a snapshot of long
-// ago. Whatever the order, no record's generation may go down at any step, and two processes that
-// have seen the same records agree.
-test('generations never go down under reordered and repeated deltas', (t) => {
+// Deltas reach a process through two relays: reordered, repeated, some lost, some from an old snapshot. In every order,
+// no record's generation may decrease at any step, and two processes that have seen the same records must agree.
+test('generations never decrease under reordered and repeated deltas', (t) => {
   const records = fc.array(
     fc.record({
       key: fc.constantFrom('a', 'b', 'c'),
@@ -62,8 +61,8 @@
     }),
     { minLength: 1, maxLength: 30 },
   );
-  const batches = records.chain((made) => {
-    const copies = made.map(({ key, generation, removed }) =>
+  const batches = records.chain((generated) => {
+    const copies = generated.map(({ key, generation, removed }) =>
       record(key, generation, { removed, value: null }),
     );
     const order = fc.shuffledSubarray([...copies, ...copies], { minLength: copies.length });
@@ -89,7 +88,7 @@
   fc.assert(property, { seed: 20_261_202, numRuns: 300 });
 });
 
-test('a long poll answers at the next record of its services, and at once when closed', async (t) => {
+test('a long poll returns at the next record of its services, and at once when closed', async (t) => {
   const store = createFeedStore();
   store.apply([record('draft-models', 1)]);
   const server = createFeedServer(store);
@@ -99,20 +98,20 @@
   const waiting = server.feed({ cursor: first.cursor, waitMs: 60_000, services });
   store.apply([record('counter-app', 1)]);
   t.is(server.waitingCount(), 1);
-  const news = record('draft-models/f1', 1, { kind: 'quarantine' });
-  store.apply([news]);
-  t.deepEqual((await waiting).records, [news]);
-  const held = server.feed({ cursor: store.since().cursor, waitMs: 60_000 });
+  const update = record('draft-models/f1', 1, { kind: 'quarantine' });
+  store.apply([update]);
+  t.deepEqual((await waiting).records, [update]);
+  const pending = server.feed({ cursor: store.since().cursor, waitMs: 60_000 });
   server.close();
-  t.deepEqual((await held).records, []);
+  t.deepEqual((await pending).records, []);
 });
 
-test('a poll whose caller is gone stops waiting', async (t) => {
+test('a poll stops waiting when its caller disconnects', async (t) => {
   const server = createFeedServer(createFeedStore());
   const { cursor } = await server.feed({ waitMs: 0 });
-  const gone = new AbortController();
-  const waiting = server.feed({ cursor, waitMs: 60_000 }, gone.signal);
-  gone.abort();
+  const caller = new AbortController();
+  const waiting = server.feed({ cursor, waitMs: 60_000 }, caller.signal);
+  caller.abort();
   await waiting;
   t.is(server.waitingCount(), 0);
 });
--- a/packages/membership/__tests__/instanceDirectory.test.ts
+++ b/packages/membership/__tests__/instanceDirectory.test.ts
@@ -36,10 +36,9 @@
   return { platform, directory, agentIds };
 }
 
-// A worker refuses with "leaving", while the list goes on calling it live for ten seconds. It must not
-// get work again at the next look at the list; and once the list has caught up, a new process under
-// the same id must not stay shut out.
-testWithClock('a leaving instance stays out though the list lags', async (t, clock) => {
+// A worker refuses with "leaving" while the list has it as live for another ten seconds. It must not get work again at
+// the next refresh; and once the list has caught up, a new process under the same id must get work.
+testWithClock('a leaving instance stays excluded while the list lags', async (t, clock) => {
   const { platform, directory, agentIds } = await createDirectory(10_000);
   directory.start();
   await clock.tickAsync(15_000);
@@ -62,7 +61,7 @@
 });
 
 testWithClock(
-  'an instance found down comes back after a while or at a new address',
+  'an instance marked as down comes back after a while or at a new address',
   async (t, clock) => {
     const { platform, directory, agentIds } = await createDirectory();
     await directory.refresh();
@@ -88,7 +87,7 @@
   await directory.stop();
 });
 
-test('relays are the same for every view of the same instances, and move little', (t) => {
+test('relays are the same for every view of the same instances, and change little', (t) => {
   const entries = Array.from({ length: 30 }, (_, index) =>
     agent(`entry-${index}`, { kind: 'entry', service: undefined }),
   );
@@ -108,8 +107,8 @@
   t.deepEqual(selectRelays(entries, 'tacoma-hall'), []);
 });
 
-// Two relays read the platform at different times. The older list arrives second and still holds an
-// instance that is gone: taking it would send requests to a dead address until the next list.
+// Two relays read the platform at different times. The older list arrives second and still has an instance that is
+// gone: applying it would send requests to a dead address until the next list.
 testWithClock('an older list from a relay does not replace a younger one', async (t, clock) => {
   const { platform, directory, agentIds } = await createDirectory();
   await directory.refresh();
@@ -118,16 +117,16 @@
   platform.control.removeInstance('w-1');
   await directory.refresh();
   await clock.tickAsync(1000);
-  directory.offer({ digest: 'older', ageMs: 4000, instances: older?.instances }, 'all');
+  directory.applyUpdate({ digest: 'older', ageMs: 4000, instances: older?.instances }, 'all');
   t.deepEqual(agentIds(), ['w-2']);
-  directory.offer({ digest: 'younger', ageMs: 500, instances: [agent('w-3')] }, 'all');
+  directory.applyUpdate({ digest: 'younger', ageMs: 500, instances: [agent('w-3')] }, 'all');
   t.deepEqual(agentIds(), ['w-3']);
   t.is(directory.listing('all')?.digest, 'younger');
 });
 
-// An entry starts before the platform lists it, alone. Until it sees itself in the list it is no relay,
-// and documents that it has accepted itself would not be in force for five seconds.
-testWithClock('the list is read more often while it names no entry', async (t, clock) => {
+// A single entry starts before the platform lists it. Until it is in its own list it is not a relay, and with the usual
+// pause between refreshes documents that it has accepted itself would take five seconds to be in force.
+testWithClock('the list is read more often while it contains no entry', async (t, clock) => {
   const { platform, directory } = await createDirectory();
   directory.start();
   await clock.tickAsync(100);
--- a/packages/membership/src/feedClient.ts
+++ b/packages/membership/src/feedClient.ts
@@ -1,4 +1,4 @@
-/** Asks another process for its feed. */
+/** Client for the feed of another process. */
 import { createTRPCClient, httpLink, type TRPCClient } from '@trpc/client';
 import { err, ok, ResultAsync } from 'neverthrow';
 import {
@@ -20,18 +20,18 @@
   detail: string;
 }
 
-/** One long poll of the process at an inner address. */
+/** Sends one long poll to the process at an inner address. */
 export type CallFeed = (
   innerAddress: string,
   request: FeedRequest,
   signal: AbortSignal,
 ) => ResultAsync<FeedReply, FeedCallError>;
 
-/** Clients kept for reuse; relays are few, and one that left is forgotten. */
-const clientLimit = 16;
+/** Size of the client cache: there are few relays, and clients of those that have left are evicted. */
+const maxClients = 16;
 
 export interface FeedClientOptions {
-  /** Absent: processes that ask for credentials refuse every call. */
+  /** Absent: processes that require credentials refuse every call. */
   credentials?: InnerCredentials;
 }
 
@@ -49,7 +49,7 @@
     const client = createTRPCClient<EntryRouter>({
       links: [httpLink({ url, headers, fetch: sealedFetch })],
     });
-    [...clients.keys()].slice(0, 1 - clientLimit).forEach((old) => clients.delete(old));
+    [...clients.keys()].slice(0, 1 - maxClients).forEach((old) => clients.delete(old));
     clients.set(innerAddress, client);
     return client;
   }
--- a/packages/membership/src/feedFollower.ts
+++ b/packages/membership/src/feedFollower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a process's feed store up to date. The relays of a data centre watch the platform, everyone
- * else polls two of them, and asks the platform itself only where no relay answers.
+ * Keeps a process's feed store up to date. The relays of a data centre watch the platform; every other process polls
+ * two of them, and reads the platform only if no relay responds.
  */
 import type { PlatformApi, PlatformInstance } from '@bluebellhitch/objects';
 import type { InstanceListState } from '@bluebellhitch/protocol';
@@ -23,60 +23,60 @@
   store: FeedStore;
   instanceId: string;
   dataCentre: string;
-  /** An agent follows its own service only; absent for entries, which follow all. */
+  /** The services of an agent, which follows its own only; absent for entries, which follow all services. */
   services?: readonly string[];
-  /** Inner addresses to ask at the start, for when the platform cannot name any instance. */
+  /** Inner addresses to poll at the start, in case the platform cannot list any instances. */
   peerAddresses?: readonly string[];
   relayCount?: number;
-  /** Relays polled at once: with two, one that lags or is cut off does not hold back a change. */
-  followCount?: number;
-  /** Longest wait of one poll or watch. */
+  /** Relays polled concurrently: with two, one that lags or is cut off does not delay a change. */
+  polledRelayCount?: number;
+  /** Longest time that one poll or watch waits for changes. */
   waitMs?: number;
-  /** A poll fails when its answer is this late. */
-  lateAfterMs?: number;
-  /** A relay that failed is left alone for this long. */
+  /** Time beyond the poll's wait after which a missing response counts as a failure. */
+  responseGraceMs?: number;
+  /** A relay that failed is not polled for about this long. */
   suspectMs?: number;
-  /** Pause between reads of the platform where no relay answers. */
+  /** Pause between reads of the platform while no relay responds. */
   platformPauseMs?: number;
-  /** First pause after a failed watch; doubles up to ten times as much. */
+  /** Pause after the first failed watch; doubles with each further failure, up to ten times as much. */
   retryMs?: number;
   callFeed?: CallFeed;
   random?: Random;
 }
 
-/** Where the feed comes from now. */
+/** The current source of the feed. */
 export type FeedSource = 'starting' | 'platform-watch' | 'relays' | 'platform-fallback';
 
 export interface FeedFollower {
   start(): void;
   stop(): Promise<void>;
-  /** Resolves once the platform or a peer has told its records. */
+  /** Resolves once the platform or a peer has delivered its records. */
   ready(): Promise<void>;
   source(): FeedSource;
 }
 
 const defaults = {
   relayCount: defaultRelayCount,
-  followCount: 2,
+  polledRelayCount: 2,
   waitMs: 25_000,
-  lateAfterMs: 2000,
+  responseGraceMs: 2000,
   suspectMs: 5000,
   platformPauseMs: 10_000,
   retryMs: 500,
 } as const;
 
-const retryLimitFactor = 10;
-const startPeers = 2;
-/** Peers asked at the start before the round is given up. */
-const startPeersTried = 6;
-/** Least time from one poll to the next, so that many changes at once cost few answers. */
+const maxRetryFactor = 10;
+const startPeerCount = 2;
+/** Peers polled in one round at the start, at most. */
+const maxStartPeers = 6;
+/** Pause between polls, so that a burst of changes costs few responses. */
 const pollPauseMs = 50;
-/** Pause after an answer that came at once with nothing in it: that relay is overloaded. */
-const emptyPauseMs = 1000;
-const cursorLimit = 64;
-/** Age told by a process without a list: any list is younger. */
+/** Pause after an empty response that came before its wait was over: that relay is overloaded. */
+const emptyReplyPauseMs = 1000;
+const maxCursors = 64;
+/** Age that a process without a list reports: any list is younger. */
 const noListAgeMs = 1e12;
-/** A relay whose own list is this old does not reach the platform. */
+/** A relay whose own list is older than this cannot reach the platform. */
 const relayListMaxAgeMs = 20_000;
 
 type PollOutcome = 'news' | 'nothing' | 'failed';
@@ -92,10 +92,10 @@
     services,
     watchWaitMs: waitMs,
     retryMs,
-    retryLimitMs: retryMs * retryLimitFactor,
+    maxRetryMs: retryMs * maxRetryFactor,
     random,
   });
-  /** Position in each peer's log. */
+  /** Cursor in each peer's log. */
   const cursors = new Map<string, string>();
   const suspectUntilMs = new Map<string, number>();
   let source: FeedSource = 'starting';
@@ -112,7 +112,7 @@
     return relays().some(({ id }) => id === instanceId);
   }
 
-  /** Other relays in this process's own order, so that followers spread over them. */
+  /** Other relays that are not suspected, in an order specific to this process, so that followers spread over them. */
   function availableRelays(): PlatformInstance[] {
     const nowMs = monotonicNowMs();
     const others = relays().filter(
@@ -123,17 +123,17 @@
   }
 
   async function run(signal: AbortSignal): Promise<void> {
-    await loadUntilAnswered(signal);
+    await loadUntilAvailable(signal);
     while (!signal.aborted) {
       await runInRole(signal);
     }
   }
 
-  /** Highest generations of platform and two peers; goes on until one of them has answered. */
-  async function loadUntilAnswered(signal: AbortSignal): Promise<void> {
+  /** Loads the records of the platform and two peers; repeats until one of them has responded. */
+  async function loadUntilAvailable(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await directory.refresh();
-      const [isLoaded, peerCount] = await Promise.all([platformFeed.load(), askPeers(signal)]);
+      const [isLoaded, peerCount] = await Promise.all([platformFeed.load(), pollPeers(signal)]);
       if (isLoaded || peerCount > 0) {
         markReady();
         return;
@@ -142,7 +142,7 @@
     }
   }
 
-  async function askPeers(signal: AbortSignal): Promise<number> {
+  async function pollPeers(signal: AbortSignal): Promise<number> {
     const listed = directory.entries().filter(({ id }) => id !== instanceId);
     const known = rendezvousOrder(`start/${instanceId}`, listed, ({ id }) => id);
     const addresses = [
@@ -150,17 +150,21 @@
         ...known.map(({ innerAddress }) => innerAddress),
         ...(options.peerAddresses ?? []),
       ]),
-    ].slice(0, startPeersTried);
-    let answered = 0;
-    for (let start = 0; start < addresses.length && answered < startPeers; start += startPeers) {
-      const chunk = addresses.slice(start, start + startPeers);
-      const answers = await Promise.all(chunk.map((address) => poll(address, 0, signal)));
-      answered += answers.filter((outcome) => outcome !== 'failed').length;
+    ].slice(0, maxStartPeers);
+    let respondedCount = 0;
+    for (
+      let start = 0;
+      start < addresses.length && respondedCount < startPeerCount;
+      start += startPeerCount
+    ) {
+      const chunk = addresses.slice(start, start + startPeerCount);
+      const outcomes = await Promise.all(chunk.map((address) => poll(address, 0, signal)));
+      respondedCount += outcomes.filter((outcome) => outcome !== 'failed').length;
     }
-    return answered;
+    return respondedCount;
   }
 
-  /** Runs until this process starts or ceases to be a relay. */
+  /** Runs until this process becomes a relay or ceases to be one. */
   async function runInRole(signal: AbortSignal): Promise<void> {
     const wasRelay = isRelay();
     const changed = new AbortController();
@@ -171,7 +175,7 @@
   }
 
   /**
-   * A relay also polls another one: a watch that is cut off or hangs looks like a quiet one, and all
+   * A relay also polls another one: a watch that is cut off or hangs looks like one without changes, and all processes
    * that this relay serves would stay on the old configuration.
    */
   async function runAsRelay(signal: AbortSignal): Promise<void> {
@@ -181,15 +185,15 @@
 
   async function runAsFollower(signal: AbortSignal): Promise<void> {
     source = 'relays';
-    const others = Array.from({ length: settings.followCount - 1 }, (_, index) => index + 1);
+    const others = Array.from({ length: settings.polledRelayCount - 1 }, (_, index) => index + 1);
     await Promise.all([
-      followFirstRelay(signal),
+      pollFirstRelay(signal),
       ...others.map((index) => pollWhileAvailable(index, signal)),
     ]);
   }
 
-  /** Polls the first relay, and reads the platform where there is none. */
-  async function followFirstRelay(signal: AbortSignal): Promise<void> {
+  /** Polls the first relay, or reads the platform while there is none. */
+  async function pollFirstRelay(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const [relay] = availableRelays();
       if (relay === undefined) {
@@ -198,33 +202,33 @@
         await pause(settings.platformPauseMs, signal);
       } else {
         source = 'relays';
-        await pollPaced(relay.innerAddress, signal);
+        await pollWithPause(relay.innerAddress, signal);
       }
     }
   }
 
-  /** Polls the relay at `index` of this process's order as long as there are that many. */
+  /** Polls the relay at `index` in this process's order, while there are that many. */
   async function pollWhileAvailable(index: number, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const relay = availableRelays()[index];
       await (relay === undefined
         ? pause(settings.suspectMs, signal)
-        : pollPaced(relay.innerAddress, signal));
+        : pollWithPause(relay.innerAddress, signal));
     }
   }
 
-  async function pollPaced(address: string, signal: AbortSignal): Promise<void> {
+  async function pollWithPause(address: string, signal: AbortSignal): Promise<void> {
     const startedAtMs = monotonicNowMs();
     const outcome = await poll(address, waitMs, signal);
     const isTooSoon = outcome === 'nothing' && monotonicNowMs() - startedAtMs < waitMs / 2;
-    await pause(isTooSoon ? emptyPauseMs : pollPauseMs, signal);
+    await pause(isTooSoon ? emptyReplyPauseMs : pollPauseMs, signal);
   }
 
   async function poll(address: string, pollMs: number, signal: AbortSignal): Promise<PollOutcome> {
     const cursor = cursors.get(address);
     const timeout = new AbortController();
-    const timer = setTimeout(() => timeout.abort(), pollMs + settings.lateAfterMs);
-    const answer = await callFeed(
+    const timer = setTimeout(() => timeout.abort(), pollMs + settings.responseGraceMs);
+    const reply = await callFeed(
       address,
       {
         cursor,
@@ -235,40 +239,40 @@
       AbortSignal.any([signal, timeout.signal]),
     );
     clearTimeout(timer);
-    if (answer.isErr()) {
+    if (reply.isErr()) {
       suspect(address, signal);
       return 'failed';
     }
-    store.apply(answer.value.records);
-    rememberCursor(address, answer.value.cursor);
-    if (answer.value.instanceList !== undefined) {
-      directory.offer(answer.value.instanceList, listScope);
+    store.apply(reply.value.records);
+    storeCursor(address, reply.value.cursor);
+    if (reply.value.instanceList !== undefined) {
+      directory.applyUpdate(reply.value.instanceList, listScope);
     }
-    return answer.value.records.length > 0 ? 'news' : 'nothing';
+    return reply.value.records.length > 0 ? 'news' : 'nothing';
   }
 
-  /** Relays read the platform's list themselves, and take another's only while they cannot. */
+  /** Relays read the platform's list themselves, and take one from another relay only while they cannot. */
   function knownList(): InstanceListState | undefined {
     const { digest, ageMs } = directory.listing(listScope) ?? { digest: '', ageMs: noListAgeMs };
     const wantsList = !isRelay() || ageMs > relayListMaxAgeMs;
     return wantsList ? { digest, ageMs } : undefined;
   }
 
-  function rememberCursor(address: string, cursor: string): void {
+  function storeCursor(address: string, cursor: string): void {
     cursors.delete(address);
     cursors.set(address, cursor);
-    [...cursors.keys()].slice(0, -cursorLimit).forEach((old) => cursors.delete(old));
+    [...cursors.keys()].slice(0, -maxCursors).forEach((old) => cursors.delete(old));
   }
 
   function suspect(address: string, signal: AbortSignal): void {
     if (!signal.aborted) {
       cursors.delete(address);
       suspectUntilMs.set(address, monotonicNowMs() + settings.suspectMs * (0.5 + random()));
-      forgetOldSuspects();
+      removeExpiredSuspects();
     }
   }
 
-  function forgetOldSuspects(): void {
+  function removeExpiredSuspects(): void {
     const nowMs = monotonicNowMs();
     [...suspectUntilMs]
       .filter(([, untilMs]) => untilMs <= nowMs)
--- a/packages/membership/src/feedRecords.ts
+++ b/packages/membership/src/feedRecords.ts
@@ -1,4 +1,4 @@
-/** From the platform's objects to records of the feed. */
+/** Converts the platform's objects to records of the feed. */
 import * as z from 'zod';
 import type { StoredObject } from '@bluebellhitch/objects';
 import { feedKinds, type FeedKind, type FeedRecord } from '@bluebellhitch/protocol';
@@ -6,8 +6,8 @@
 const generationSchema = z.object({ generation: z.number().int().nonnegative() });
 
 /**
- * Accepted documents carry their own generation, and one without it is no record. Quarantines may;
- * otherwise the object's version serves.
+ * Accepted documents contain their generation; one without it yields no record. A quarantine without a generation takes
+ * the version of its object.
  */
 export function recordFromObject(object: StoredObject): FeedRecord | undefined {
   const { kind, key, version, value } = object;
@@ -22,12 +22,12 @@
   return undefined;
 }
 
-/** Marks a known record as removed, at its own generation. */
+/** Marks a known record as removed, keeping its generation. */
 export function tombstoneOf(record: FeedRecord): FeedRecord {
   return { ...record, removed: true, value: null };
 }
 
-/** Whether a record concerns one of the services; quarantines have `<service>/...` as their key. */
+/** Whether a record concerns one of the services; the keys of quarantines have the form `<service>/...`. */
 export function concernsServices(
   { kind, key }: { kind: FeedKind; key: string },
   services: readonly string[] | undefined,
--- a/packages/membership/src/feedServer.ts
+++ b/packages/membership/src/feedServer.ts
@@ -1,4 +1,4 @@
-/** Answers other processes' long polls of this process's feed. Any entry may be asked. */
+/** Serves this process's feed to other processes by long polls. Every entry does, not only the relays. */
 import type { FeedReply, FeedRequest, InstanceListNews } from '@bluebellhitch/protocol';
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
 import { concernsServices } from './feedRecords';
@@ -6,65 +6,65 @@
 import type { InstanceDirectory } from './instanceDirectory';
 
 export interface FeedServerOptions {
-  /** Polls that wait at once; more are answered without waiting. */
-  waitingLimit?: number;
-  /** Passes the list of instances on, so that few processes read it from the platform. */
+  /** Polls that may wait at the same time; further ones get their response without waiting. */
+  maxWaitingPolls?: number;
+  /** Source of the list of instances, which is passed on so that few processes read it from the platform. */
   directory?: Pick<InstanceDirectory, 'listing' | 'onChange'>;
 }
 
 export interface FeedServer {
   /** The `feed` handler of `createEntryRouter`. */
   feed(request: FeedRequest, signal?: AbortSignal): Promise<FeedReply>;
-  /** Answers all waiting polls, so that they do not hold up an exit. */
+  /** Ends all waiting polls, so that they do not delay the exit. */
   close(): void;
   waitingCount(): number;
 }
 
-const defaultWaitingLimit = 2000;
+const defaultMaxWaitingPolls = 2000;
 
 export function createFeedServer(store: FeedStore, options: FeedServerOptions = {}): FeedServer {
-  const { waitingLimit = defaultWaitingLimit, directory } = options;
+  const { maxWaitingPolls = defaultMaxWaitingPolls, directory } = options;
   const waiting = new Set<AbortController>();
   let isClosed = false;
 
   async function feed(request: FeedRequest, signal?: AbortSignal): Promise<FeedReply> {
-    const askedAtMs = monotonicNowMs();
-    const first = replyTo(request, askedAtMs);
-    const isUseful =
+    const receivedAtMs = monotonicNowMs();
+    const first = replyTo(request, receivedAtMs);
+    const hasContent =
       first.snapshot || first.records.length > 0 || first.instanceList?.instances !== undefined;
-    if (isUseful || isClosed || waiting.size >= waitingLimit) {
+    if (hasContent || isClosed || waiting.size >= maxWaitingPolls) {
       return first;
     }
-    await waitForNews(request, askedAtMs, signal);
-    return replyTo(request, askedAtMs);
+    await waitForUpdate(request, receivedAtMs, signal);
+    return replyTo(request, receivedAtMs);
   }
 
-  function replyTo(request: FeedRequest, askedAtMs: number): FeedReply {
+  function replyTo(request: FeedRequest, receivedAtMs: number): FeedReply {
     const delta = store.since(request.cursor);
     return {
       ...delta,
       records: delta.records.filter((record) => concernsServices(record, request.services)),
-      instanceList: listNews(request, askedAtMs),
+      instanceList: listUpdate(request, receivedAtMs),
     };
   }
 
-  function listNews(request: FeedRequest, askedAtMs: number): InstanceListNews | undefined {
+  function listUpdate(request: FeedRequest, receivedAtMs: number): InstanceListNews | undefined {
     const known = request.instanceList;
     const scope = request.services === undefined ? 'all' : 'entries';
     const own = directory?.listing(scope);
     if (known === undefined || own === undefined) {
       return undefined;
     }
-    const knownAgeMs = known.ageMs + (monotonicNowMs() - askedAtMs);
+    const knownAgeMs = known.ageMs + (monotonicNowMs() - receivedAtMs);
     if (own.ageMs >= knownAgeMs) {
       return undefined;
     }
     return own.digest === known.digest ? { digest: own.digest, ageMs: own.ageMs } : own;
   }
 
-  async function waitForNews(
+  async function waitForUpdate(
     request: FeedRequest,
-    askedAtMs: number,
+    receivedAtMs: number,
     signal?: AbortSignal,
   ): Promise<void> {
     const woken = new AbortController();
@@ -75,7 +75,7 @@
       }
     });
     const unsubscribeList = directory?.onChange(() => {
-      if (listNews(request, askedAtMs)?.instances !== undefined) {
+      if (listUpdate(request, receivedAtMs)?.instances !== undefined) {
         wake();
       }
     });
--- a/packages/membership/src/feedStore.ts
+++ b/packages/membership/src/feedStore.ts
@@ -1,40 +1,40 @@
 /**
- * The versioned records that a process has seen. For each record the highest generation wins, whatever
- * the order in which copies arrive, so that a slow relay cannot take a configuration back.
+ * The versioned records that a process has seen. The highest generation of a record wins, in whatever order copies
+ * arrive, so that a slow relay cannot revert a configuration.
  */
 import type { FeedKind, FeedRecord } from '@bluebellhitch/protocol';
 import { invariant } from '@bluebellhitch/shared';
 
 export interface FeedStoreOptions {
-  /** Records kept at most. Old tombstones and quarantines give way; accepted documents never do. */
+  /** Old tombstones of quarantines are evicted first, then old quarantines; accepted documents never are. */
   bound?: number;
-  /** Tells this run's cursors from those of another process or an earlier run. */
+  /** Distinguishes the cursors of this run from those of other processes and earlier runs. */
   incarnation?: string;
 }
 
 export interface FeedDelta {
   cursor: string;
-  /** Whether `records` is everything rather than what is newer than the cursor. */
+  /** Whether `records` has all records rather than only those newer than the cursor. */
   snapshot: boolean;
   records: FeedRecord[];
 }
 
 export interface AppliedRecords {
   applied: FeedRecord[];
-  /** Copies that were not newer than what is known. */
+  /** Copies that were not newer than the known record. */
   staleCount: number;
-  /** New records that the bound left no room for. */
+  /** New records for which there was no room. */
   refusedCount: number;
 }
 
 export interface FeedStore {
   apply(records: readonly FeedRecord[]): AppliedRecords;
-  /** Also answers tombstones; see `removed`. */
+  /** Also returns tombstones, whose `removed` is true. */
   get(kind: FeedKind, key: string): FeedRecord | undefined;
-  /** Records that are not removed. */
+  /** Records without tombstones. */
   list(kind: FeedKind): FeedRecord[];
   since(cursor?: string): FeedDelta;
-  /** Calls back with each batch of applied records, until the returned function is called. */
+  /** Calls `listener` with each batch of applied records, until the returned function is called. */
   subscribe(listener: (applied: readonly FeedRecord[]) => void): () => void;
   size(): number;
 }
@@ -50,12 +50,12 @@
   sequence: number;
 }
 
-const defaultBound = 20_000;
-/** Superseded log entries that are kept before the log is rewritten. */
+const defaultMaxRecords = 20_000;
+/** Superseded log entries that are tolerated, beside one per record, before the log is compacted. */
 const logSlack = 64;
 
 export function createFeedStore(options: FeedStoreOptions = {}): FeedStore {
-  const { bound = defaultBound, incarnation = Math.random().toString(36).slice(2) } = options;
+  const { bound = defaultMaxRecords, incarnation = Math.random().toString(36).slice(2) } = options;
   const stored = new Map<string, StoredRecord>();
   const listeners = new Set<(applied: readonly FeedRecord[]) => void>();
   let log: LogEntry[] = [];
@@ -76,14 +76,14 @@
 
   function isNewer(record: FeedRecord): boolean {
     const known = stored.get(recordId(record))?.record;
-    return known === undefined || compareAge(record, known) > 0;
+    return known === undefined || compareRecency(record, known) > 0;
   }
 
   function put(record: FeedRecord): boolean {
     const id = recordId(record);
     const known = stored.get(id)?.record;
-    // One batch may hold several copies of a record.
-    if (known !== undefined && compareAge(record, known) <= 0) {
+    // One batch may contain several copies of a record.
+    if (known !== undefined && compareRecency(record, known) <= 0) {
       return false;
     }
     if (known === undefined && stored.size >= bound && !evictOne()) {
@@ -91,7 +91,7 @@
     }
     invariant(
       known === undefined || record.generation >= known.generation,
-      `generation of ${id} goes down`,
+      `the generation of ${id} never decreases`,
     );
     lastSequence += 1;
     stored.set(id, { record, sequence: lastSequence });
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Makes room for a record. What is forgotten here a stale copy could bring back, which for a
-   * quarantine means a few more refusals; an accepted document would revert, so it is never dropped.
+   * Makes room for a record. A stale copy could bring an evicted record back. For a quarantine that only means a few
+   * more refusals; an accepted document would revert to an old generation, so it is never evicted.
    */
   function evictOne(): boolean {
     const evictable = [...stored].filter(([, { record }]) => record.kind === 'quarantine');
@@ -129,7 +129,7 @@
     return { cursor: `${incarnation}:${lastSequence}`, snapshot: !isKnown, records };
   }
 
-  /** Index of the first log entry behind `sequence`; a delta must not read the whole log. */
+  /** Index of the first log entry after `sequence`; a binary search, as a delta must not scan the whole log. */
   function firstAfter(sequence: number): number {
     let low = 0;
     let high = log.length;
@@ -164,7 +164,7 @@
   return `${kind}\u0000${key}`;
 }
 
-/** Positive where `left` is newer. A removal is newer than the content of its own generation. */
-function compareAge(left: FeedRecord, right: FeedRecord): number {
+/** Positive if `left` is newer. A removal is newer than the content of the same generation. */
+function compareRecency(left: FeedRecord, right: FeedRecord): number {
   return left.generation - right.generation || Number(left.removed) - Number(right.removed);
 }
--- a/packages/membership/src/instanceDirectory.ts
+++ b/packages/membership/src/instanceDirectory.ts
@@ -1,6 +1,6 @@
 /**
- * The instances as this process sees them: the platform's list, which lags, corrected by what was
- * learned first hand. A stale view costs latency, never correctness.
+ * This process's view of the instances: the platform's list, which lags, corrected by what the process has observed
+ * itself. A stale view costs latency, never correctness.
  */
 import type { PlatformApi, PlatformInstance } from '@bluebellhitch/objects';
 import type { InstanceListNews, InstanceListState } from '@bluebellhitch/protocol';
@@ -14,54 +14,54 @@
 
 export interface InstanceDirectoryOptions {
   platform: PlatformApi;
-  /** Usual pause between looks at the list; each is a read of the platform. */
+  /** Usual pause between refreshes; each is a read of the platform unless a relay has brought a list. */
   refreshMs?: number;
-  /** Pause while the list names no entry: there is no relay yet to bring configuration. */
-  searchMs?: number;
-  /** A list taken from a relay may be this old before the platform is read again. */
+  /** Pause between refreshes while the list contains no entry and so no relay to get the configuration from. */
+  discoveryMs?: number;
+  /** Age of a list from a relay above which the platform is read again. */
   relayedListMaxAgeMs?: number;
-  /** How long a refusal as leaving outlives a list that still says live. */
+  /** How long an instance that said it is leaving counts as such while the list still has it as live. */
   leavingHoldMs?: number;
-  /** How long an instance found down gets no work, unless the list tells of a new address. */
+  /** How long an unresponsive instance gets no work, unless the list shows a new address for it. */
   downHoldMs?: number;
   random?: Random;
 }
 
 export interface InstanceDirectory {
-  /** Live agents of a service: neither leaving nor found down. */
+  /** Live agents of a service: neither leaving nor marked as down. */
   agents(service: string): readonly PlatformInstance[];
   /** Live entries. */
   entries(): readonly PlatformInstance[];
-  /** Every listed instance with its corrected state, also those found down. */
+  /** Every listed instance with its corrected state, including those marked as down. */
   all(): readonly PlatformInstance[];
-  /** The instance itself said that it is leaving. */
+  /** Records that the instance itself said it is leaving. */
   markLeaving(id: string): void;
-  /** The instance does not answer. */
+  /** Records that the instance does not respond. */
   markDown(id: string): void;
-  /** Calls back after each change of the view, until the returned function is called. */
+  /** Calls `listener` after each change of the view, until the returned function is called. */
   onChange(listener: () => void): () => void;
-  /** Looks at the list now; `false` where the platform did not answer and the last view stays. */
+  /** Reads the platform's list; `false` if the platform did not respond, so that the last view remains. */
   refresh(): Promise<boolean>;
-  /** Looks only where no relay has brought a list lately. */
+  /** Refreshes unless a relay has brought a list recently. */
   refreshIfNeeded(): Promise<void>;
-  /** The platform's list as it was read, for others; `undefined` before the first one. */
+  /** The platform's list without corrections, for other processes; `undefined` before the first one. */
   listing(scope: ListScope): InstanceListing | undefined;
-  /** Takes another process's list where it was read from the platform later than the own one. */
-  offer(news: InstanceListNews, scope: ListScope): void;
+  /** Applies another process's list if it was read from the platform later than the current one. */
+  applyUpdate(update: InstanceListNews, scope: ListScope): void;
   /** Age of the list, or `undefined` before the first one. */
   viewAgeMs(): number | undefined;
   start(): void;
   stop(): Promise<void>;
 }
 
-/** Agents need to know the entries only. */
+/** Agents need only the entries. */
 export type ListScope = 'all' | 'entries';
 
 export type InstanceListing = InstanceListState & { instances: PlatformInstance[] };
 
 interface Correction {
   kind: 'leaving' | 'down';
-  /** A process that came back under the same id listens elsewhere, which ends the correction. */
+  /** A process restarted under the same id has another address, which ends the correction. */
   innerAddress: string;
   untilMs: number;
 }
@@ -70,14 +70,14 @@
   all: PlatformInstance[];
   entries: PlatformInstance[];
   agentsOfService: Map<string, PlatformInstance[]>;
-  /** When the first correction ends and the view must be built anew. */
+  /** When the first correction expires and the view must be rebuilt. */
   validUntilMs: number;
 }
 
 const defaults = {
   refreshMs: 5000,
-  searchMs: 1000,
-  // Above the longest wait of a feed poll: a quiet relay is no reason to read the platform.
+  discoveryMs: 1000,
+  // Above the longest wait of a feed poll, so that a relay without changes does not cause reads of the platform.
   relayedListMaxAgeMs: 40_000,
   leavingHoldMs: 60_000,
   downHoldMs: 5000,
@@ -85,7 +85,7 @@
 const jitterShare = 0.5;
 
 export function createInstanceDirectory(options: InstanceDirectoryOptions): InstanceDirectory {
-  const { platform, refreshMs, searchMs, relayedListMaxAgeMs, leavingHoldMs, downHoldMs } = {
+  const { platform, refreshMs, discoveryMs, relayedListMaxAgeMs, leavingHoldMs, downHoldMs } = {
     ...defaults,
     ...options,
   };
@@ -122,7 +122,7 @@
       .forEach(([id]) => corrections.delete(id));
   }
 
-  function correct(id: string, kind: Correction['kind'], holdMs: number): void {
+  function addCorrection(id: string, kind: Correction['kind'], holdMs: number): void {
     const instance = listed.find((candidate) => candidate.id === id);
     const isLeaving = corrections.get(id)?.kind === 'leaving';
     if (instance === undefined || (kind === 'down' && isLeaving)) {
@@ -134,12 +134,12 @@
   }
 
   async function refresh(): Promise<boolean> {
-    const answer = await platform.instances();
-    if (answer.isErr()) {
+    const reply = await platform.instances();
+    if (reply.isErr()) {
       return false;
     }
     isRelayed = false;
-    takeList(answer.value, monotonicNowMs());
+    replaceList(reply.value, monotonicNowMs());
     return true;
   }
 
@@ -150,7 +150,7 @@
     }
   }
 
-  function takeList(instances: PlatformInstance[], readAtMs: number): void {
+  function replaceList(instances: PlatformInstance[], readAtMs: number): void {
     listed = instances;
     listedAtMs = readAtMs;
     listings = new Map();
@@ -171,8 +171,8 @@
     return { ...known, ageMs };
   }
 
-  /** Relays read at different times: an older list after a younger one would bring back the dead. */
-  function offer({ digest, ageMs, instances }: InstanceListNews, scope: ListScope): void {
+  /** Relays read the list at different times; an older list applied last would bring back instances that are gone. */
+  function applyUpdate({ digest, ageMs, instances }: InstanceListNews, scope: ListScope): void {
     const readAtMs = monotonicNowMs() - ageMs;
     if (listedAtMs !== undefined && readAtMs <= listedAtMs) {
       return;
@@ -182,7 +182,7 @@
       isRelayed = true;
     } else if (instances !== undefined) {
       isRelayed = true;
-      takeList(instances, readAtMs);
+      replaceList(instances, readAtMs);
       listings.set(scope, { digest, instances });
     }
   }
@@ -190,7 +190,7 @@
   async function run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await refreshIfNeeded();
-      const pauseMs = currentView().entries.length === 0 ? searchMs : refreshMs;
+      const pauseMs = currentView().entries.length === 0 ? discoveryMs : refreshMs;
       await delay(pauseMs * (1 - jitterShare / 2 + random() * jitterShare), signal);
     }
   }
@@ -199,8 +199,8 @@
     agents: (service) => currentView().agentsOfService.get(service) ?? [],
     entries: () => currentView().entries,
     all: () => currentView().all,
-    markLeaving: (id) => correct(id, 'leaving', leavingHoldMs),
-    markDown: (id) => correct(id, 'down', downHoldMs),
+    markLeaving: (id) => addCorrection(id, 'leaving', leavingHoldMs),
+    markDown: (id) => addCorrection(id, 'down', downHoldMs),
     onChange(listener) {
       listeners.add(listener);
       return () => listeners.delete(listener);
@@ -208,13 +208,13 @@
     refresh,
     refreshIfNeeded,
     listing,
-    offer,
+    applyUpdate,
     viewAgeMs,
     ...createBackgroundLoop(run),
   };
 }
 
-/** A list that says leaving has caught up: what it says live after that is a new process. */
+/** Once the list says leaving, it has caught up: an instance that it then shows as live is a new process. */
 function hasEnded(
   { kind, innerAddress, untilMs }: Correction,
   listed: PlatformInstance | undefined,
--- a/packages/membership/src/peerSettings.ts
+++ b/packages/membership/src/peerSettings.ts
@@ -1,4 +1,4 @@
-/** The setting that names entries to ask at the start, for `bluebell-entry` and `bluebell-agent`. */
+/** The setting of `bluebell-entry` and `bluebell-agent` for the entries to poll at the start. */
 import * as z from 'zod';
 
 const maxPeers = 16;
--- a/packages/membership/src/platformFeed.ts
+++ b/packages/membership/src/platformFeed.ts
@@ -1,4 +1,4 @@
-/** Fills the feed store from the platform: once by a list, or continuously by list and watch. */
+/** Fills the feed store from the platform: once by listing, or continuously by listing and watching. */
 import { err, ok, type Result } from 'neverthrow';
 import type { PlatformApi, PlatformError, StoredObject, WatchEvent } from '@bluebellhitch/objects';
 import { feedKinds, type FeedKind, type FeedRecord } from '@bluebellhitch/protocol';
@@ -9,28 +9,28 @@
 export interface PlatformFeedOptions {
   platform: PlatformApi;
   store: FeedStore;
-  /** Only records of these services; absent: all. */
+  /** Only records of these services; absent: all records. */
   services?: readonly string[];
   watchWaitMs: number;
   retryMs: number;
-  retryLimitMs: number;
+  maxRetryMs: number;
   random: Random;
 }
 
 export interface PlatformFeed {
-  /** Reads all kinds once; `false` where the platform did not answer. */
+  /** Reads all kinds once; `false` if a read failed. */
   load(): Promise<boolean>;
   /** Lists and watches all kinds until the signal aborts. */
   follow(signal: AbortSignal): Promise<void>;
 }
 
 export function createPlatformFeed(options: PlatformFeedOptions): PlatformFeed {
-  const { platform, store, services, watchWaitMs, retryMs, retryLimitMs, random } = options;
+  const { platform, store, services, watchWaitMs, retryMs, maxRetryMs, random } = options;
 
-  /** Applies what the platform has, marks as removed what it no longer has, answers the position. */
+  /** Applies the platform's objects, marks records that it no longer has as removed, and returns the cursor. */
   async function loadKind(kind: FeedKind): Promise<Result<string, PlatformError>> {
-    // Only what was known before the call can be missing from its answer: a record that arrives
-    // meanwhile by another way may be newer than the list.
+    // Only records known before the call count as removed if the list lacks them: one that arrives from elsewhere
+    // during the call may be newer than the list.
     const knownBefore = store.list(kind).filter((record) => concernsServices(record, services));
     const listed = await platform.list(kind);
     return listed.map(({ objects, cursor }) => {
@@ -41,20 +41,20 @@
     });
   }
 
-  /** A process of few services reads its accepted documents one by one rather than all of them. */
+  /** A process with few services reads their accepted documents one by one rather than listing all. */
   async function loadAccepted(names: readonly string[]): Promise<Result<void, PlatformError>> {
-    const answers = await Promise.all(names.map((name) => platform.get(feedKinds.accepted, name)));
-    applyObjects(answers.flatMap((answer) => (answer.isOk() ? [answer.value] : [])));
-    const failed = answers.find((answer) => answer.isErr() && answer.error.kind !== 'not-found');
+    const results = await Promise.all(names.map((name) => platform.get(feedKinds.accepted, name)));
+    applyObjects(results.flatMap((result) => (result.isOk() ? [result.value] : [])));
+    const failed = results.find((result) => result.isErr() && result.error.kind !== 'not-found');
     return failed?.isErr() ? err(failed.error) : ok(undefined);
   }
 
   async function load(): Promise<boolean> {
-    const answers = await Promise.all([
+    const results = await Promise.all([
       services === undefined ? loadKind(feedKinds.accepted) : loadAccepted(services),
       loadKind(feedKinds.quarantine),
     ]);
-    return answers.every((answer) => answer.isOk());
+    return results.every((result) => result.isOk());
   }
 
   function applyObjects(objects: readonly StoredObject[]): void {
@@ -75,20 +75,20 @@
     let cursor: string | undefined;
     let failures = 0;
     while (!signal.aborted) {
-      const next = await step(kind, cursor, signal);
+      const next = await listOrWatch(kind, cursor, signal);
       if (next.isOk()) {
         cursor = next.value;
         failures = 0;
       } else {
-        const pauseMs = Math.min(retryLimitMs, retryMs * 2 ** failures);
+        const pauseMs = Math.min(maxRetryMs, retryMs * 2 ** failures);
         failures += 1;
         await delay(pauseMs * (0.5 + random() / 2), signal);
       }
     }
   }
 
-  /** One list or one watch; answers where to go on, `undefined` for a new list. */
-  async function step(
+  /** Makes one list or watch call; returns the next cursor, `undefined` if a new list is needed. */
+  async function listOrWatch(
     kind: FeedKind,
     cursor: string | undefined,
     signal: AbortSignal,
--- a/packages/membership/src/relays.ts
+++ b/packages/membership/src/relays.ts
@@ -1,11 +1,12 @@
 /**
- * Which entries relay the feed to others. Every process works it out for itself from its own view of
- * the instances; two views that differ cost a few extra reads, since versions carry the truth.
+ * Selects the entries that relay the feed to others. Every process computes this from its own view of the instances.
+ * Differing views cost only a few extra reads, because the highest generation of a record wins wherever it comes
+ * from.
  */
 import type { PlatformInstance } from '@bluebellhitch/objects';
 import { rendezvousOrder } from '@bluebellhitch/shared';
 
-/** Relays of each data centre, unless settings say otherwise. */
+/** Default number of relays in each data centre. */
 export const defaultRelayCount = 3;
 
 /** The first `count` live entries of a data centre in rendezvous order. */
