--- a/packages/agent/__tests__/admission.test.ts
+++ b/packages/agent/__tests__/admission.test.ts
@@ -1,9 +1,15 @@
 import test from 'ava';
-import { accepted, beatHeart, openStream, reserve, startBench } from './helpers/agentBench';
+import {
+  acceptedDocument,
+  startHeartbeats,
+  openStream,
+  reserve,
+  startBench,
+} from './helpers/agentBench';
 
-test.serial('a bid tells true free memory and reserves nothing', async (t) => {
+test.serial('a bid reports the actual free memory and reserves nothing', async (t) => {
   const bench = await startBench(t);
-  const ask = () =>
+  const requestBid = () =>
     bench.agent.handlers.bid({
       service: 'draft-models',
       promptTokens: 200,
@@ -14,20 +20,20 @@
   bench.engine.cacheEventList.push({ kind: 'stored', sequence: 1, block: 'first' });
   await bench.clock.tickAsync(600);
   await reserve(bench, 'a', { maxOutputTokens: 290 });
-  t.like(await ask(), {
+  t.like(await requestBid(), {
     incarnation: 'agent-first',
     cachedPrefixTokens: 64,
     usableInMs: 0,
-    load: { ...(await ask()).load, freeKvBytes: 700, activeCount: 1, leaving: false },
+    load: { ...(await requestBid()).load, freeKvBytes: 700, activeCount: 1, leaving: false },
   });
   t.is(bench.agent.load().activeCount, 1);
 });
 
-// While a prefill runs elsewhere, the memory for its decode is still in use. It is promised from what
-// the running stream will give back, so that it is not idle meanwhile and ready when it is needed.
-test.serial('memory that will be free in time is granted ahead', async (t) => {
+// While a prefill runs on another worker, the memory for its decode is still used by a running stream. It is
+// promised in advance, so that it is neither idle during the prefill nor missing when it is needed.
+test.serial('memory that will be free in time is granted in advance', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100 });
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'running');
   const running = openStream(bench, 'running');
   await bench.clock.tickAsync(600);
@@ -39,22 +45,22 @@
   await bench.clock.tickAsync(200);
   t.is(next.frames.length, 0);
   await bench.clock.tickAsync(1200);
-  stopHeart();
+  stopHeartbeats();
   await Promise.all([running.done, next.done]);
   t.like(next.frames.at(-1), { kind: 'end' });
 });
 
-// The prediction was wrong: the stream goes on for longer than expected. The one that was promised its
-// memory waits for a bounded time, and is then told that nothing ran.
-test.serial('a broken promise is answered as not run', async (t) => {
+// The running stream takes longer than predicted. The request that was promised its memory waits for a
+// bounded time and then fails as not run.
+test.serial('a promise that is not kept fails as not run', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100 });
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'running');
   bench.agent.books.table.expectRelease('running', 100);
   t.is((await reserve(bench, 'next', { neededInMs: 300 })).kind, 'granted');
   const next = openStream(bench, 'next');
   await bench.clock.tickAsync(1100);
-  stopHeart();
+  stopHeartbeats();
   await next.done;
   t.like(next.frames[0], { kind: 'failed', reason: 'no-capacity', notRun: true });
   t.deepEqual(bench.engine.calls, []);
@@ -63,35 +69,38 @@
 
 test.serial('waits in the queue and is granted when memory is free', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100 });
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'running');
   void openStream(bench, 'running');
   const waiting = reserve(bench, 'next');
   await bench.clock.tickAsync(100);
   t.is(bench.agent.load().queuedCount, 1);
   await bench.clock.tickAsync(900);
-  stopHeart();
+  stopHeartbeats();
   t.like(await waiting, { kind: 'granted' });
 });
 
-// The memory cannot be free before the caller's limit. Holding the request until then would only take
-// away its time to go elsewhere.
-test.serial('a hopeless wait is refused at once, with when to come back', async (t) => {
-  const bench = await startBench(t, { capacityKvBytes: 100 });
-  await reserve(bench, 'running');
-  const byLimit = await reserve(bench, 'b', { waitLimitMs: 200 });
-  t.like(byLimit, { kind: 'refused', reason: 'deadline-hopeless', notRun: true });
-  t.true(byLimit.kind === 'refused' && (byLimit.retryAfterMs ?? 0) > 500);
-  const byTarget = await reserve(bench, 'c', { firstTokenDeadlineInMs: 300 });
-  t.like(byTarget, { kind: 'refused', reason: 'deadline-hopeless' });
-  t.is(bench.agent.load().queuedCount, 0);
-});
+// The memory cannot be free before the caller's limit. Keeping the request in the queue would only leave the
+// caller less time to try another instance.
+test.serial(
+  'a request that cannot be served in time is refused at once with a retry time',
+  async (t) => {
+    const bench = await startBench(t, { capacityKvBytes: 100 });
+    await reserve(bench, 'running');
+    const byLimit = await reserve(bench, 'b', { waitLimitMs: 200 });
+    t.like(byLimit, { kind: 'refused', reason: 'deadline-hopeless', notRun: true });
+    t.true(byLimit.kind === 'refused' && (byLimit.retryAfterMs ?? 0) > 500);
+    const byTarget = await reserve(bench, 'c', { firstTokenDeadlineInMs: 300 });
+    t.like(byTarget, { kind: 'refused', reason: 'deadline-hopeless' });
+    t.is(bench.agent.load().queuedCount, 0);
+  },
+);
 
-// A request waits for memory that seemed to come in time; then the stream before it turns out to be
-// longer. It is answered as soon as that is certain, well before its limit.
-test.serial('a wait that becomes hopeless ends early', async (t) => {
+// A request is queued because its memory is predicted to be free in time; then the running stream turns out
+// to take longer. The request is refused as soon as that is certain, well before its limit.
+test.serial('a queued request that can no longer be served in time is refused early', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100 });
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'running');
   const startedAtMs = performance.now();
   const waiting = reserve(bench, 'next', { waitLimitMs: 3000 });
@@ -99,12 +108,14 @@
   bench.agent.books.table.expectRelease('running', startedAtMs + 60_000);
   await bench.clock.tickAsync(200);
   t.like(await waiting, { kind: 'refused', reason: 'deadline-hopeless', notRun: true });
-  stopHeart();
+  stopHeartbeats();
 });
 
-test.serial('the class bounds its queue', async (t) => {
+test.serial('refuses a request when the queue of its class is full', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100 });
-  bench.agent.applyDocument(accepted(1, { classes: [{ name: 'standard', queueLimit: 1 }] }));
+  bench.agent.applyDocument(
+    acceptedDocument(1, { classes: [{ name: 'standard', queueLimit: 1 }] }),
+  );
   await reserve(bench, 'running');
   const waiting = reserve(bench, 'b');
   t.like(await reserve(bench, 'c'), { kind: 'refused', reason: 'queue-full', notRun: true });
@@ -112,34 +123,37 @@
   await waiting;
 });
 
-test.serial('refuses another service, another role and what exceeds the memory', async (t) => {
-  const bench = await startBench(t, { role: 'prefill' });
-  const reasons = await Promise.all([
-    reserve(bench, 'a', { service: 'other' }),
-    reserve(bench, 'b', { purpose: 'decode' }),
-    reserve(bench, 'c', { purpose: 'plain' }),
-    reserve(bench, 'd', { purpose: 'prefill', promptTokens: 5000 }),
-  ]);
-  t.deepEqual(
-    reasons.map((reply) => (reply.kind === 'refused' ? [reply.reason, reply.notRun] : [])),
-    [
-      ['wrong-service', true],
-      ['wrong-role', true],
-      ['wrong-role', true],
-      ['no-capacity', true],
-    ],
-  );
-});
+test.serial(
+  'refuses another service, another role and a request larger than the memory',
+  async (t) => {
+    const bench = await startBench(t, { role: 'prefill' });
+    const reasons = await Promise.all([
+      reserve(bench, 'a', { service: 'other' }),
+      reserve(bench, 'b', { purpose: 'decode' }),
+      reserve(bench, 'c', { purpose: 'plain' }),
+      reserve(bench, 'd', { purpose: 'prefill', promptTokens: 5000 }),
+    ]);
+    t.deepEqual(
+      reasons.map((reply) => (reply.kind === 'refused' ? [reply.reason, reply.notRun] : [])),
+      [
+        ['wrong-service', true],
+        ['wrong-role', true],
+        ['wrong-role', true],
+        ['no-capacity', true],
+      ],
+    );
+  },
+);
 
-// The engine is down. Nobody waits for it in vain: those in the queue are answered when it is noticed.
-test.serial('an engine that is down refuses and answers those who wait', async (t) => {
+// Queued requests must not wait for an engine that is down: they are refused when the outage is detected.
+test.serial('refuses new and queued requests while the engine is down', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100 });
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'running');
   const waiting = reserve(bench, 'next');
   bench.engine.faults.down = true;
   await bench.clock.tickAsync(1200);
-  stopHeart();
+  stopHeartbeats();
   t.like(await waiting, { kind: 'refused', reason: 'not-ready', notRun: true });
   t.like(await reserve(bench, 'c'), { kind: 'refused', reason: 'not-ready' });
   t.false(bench.agent.isReady());
--- a/packages/agent/__tests__/attemptRecord.test.ts
+++ b/packages/agent/__tests__/attemptRecord.test.ts
@@ -3,29 +3,29 @@
 
 test('an attempt starts once', (t) => {
   const attempts = createAttemptRecord();
-  attempts.reserved('a');
-  t.true(attempts.start('a'));
-  t.false(attempts.start('a'));
-  attempts.ended('a');
-  t.false(attempts.start('a'));
+  attempts.noteReserved('a');
+  t.true(attempts.tryStart('a'));
+  t.false(attempts.tryStart('a'));
+  attempts.noteEnded('a');
+  t.false(attempts.tryStart('a'));
 });
 
-test('a cancelled attempt does not start; a running one counts as run', (t) => {
+test('a cancelled attempt does not start; a running one counts as ended', (t) => {
   const attempts = createAttemptRecord();
-  attempts.cancelled('a');
-  t.false(attempts.start('a'));
-  t.is(attempts.phaseOf('a'), 'cancelled');
-  attempts.start('b');
-  attempts.cancelled('b');
-  t.is(attempts.phaseOf('b'), 'ended');
+  attempts.noteCancelled('a');
+  t.false(attempts.tryStart('a'));
+  t.is(attempts.getPhase('a'), 'cancelled');
+  attempts.tryStart('b');
+  attempts.noteCancelled('b');
+  t.is(attempts.getPhase('b'), 'ended');
 });
 
-test('a refused reservation leaves no trace, and the record is bounded', (t) => {
+test('a refused reservation is forgotten, and the number of attempts is bounded', (t) => {
   const attempts = createAttemptRecord({ capacity: 2 });
-  attempts.reserved('a');
+  attempts.noteReserved('a');
   attempts.forget('a');
-  t.is(attempts.phaseOf('a'), undefined);
-  ['b', 'c', 'd'].forEach(attempts.ended);
-  t.is(attempts.phaseOf('b'), undefined);
-  t.is(attempts.phaseOf('d'), 'ended');
+  t.is(attempts.getPhase('a'), undefined);
+  ['b', 'c', 'd'].forEach(attempts.noteEnded);
+  t.is(attempts.getPhase('b'), undefined);
+  t.is(attempts.getPhase('d'), 'ended');
 });
--- a/packages/agent/__tests__/cancellation.test.ts
+++ b/packages/agent/__tests__/cancellation.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { StreamFrame } from '@bluebellhitch/protocol';
 import {
-  beatHeart,
+  startHeartbeats,
   entry,
   openStream,
   reserve,
@@ -25,13 +25,13 @@
   priority: 5,
 };
 
-test.serial('a whole answer ends its lease and frees its memory', async (t) => {
+test.serial('a complete response ends its lease and frees its memory', async (t) => {
   const bench = await startBench(t);
   await reserve(bench, 'a');
   const stream = openStream(bench, 'a');
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await bench.clock.tickAsync(1000);
-  stopHeart();
+  stopHeartbeats();
   await stream.done;
   t.is(stream.frames.length, 91);
   t.like(stream.frames.at(-1), { kind: 'end', offset: 90, attemptId: 'a' });
@@ -39,9 +39,9 @@
   t.false(bench.engine.calls.includes('cancel a'));
 });
 
-// The caller goes away while its request waits for memory. The waiting place is given up at once, and
-// what is free later goes to the next.
-test.serial('cancelled while it waits', async (t) => {
+// The caller disconnects while its request is queued. The request leaves the queue at once, so that memory
+// freed later goes to the next one.
+test.serial('cancelled while queued', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100 });
   await reserve(bench, 'running');
   const waiting = reserve(bench, 'a');
@@ -50,8 +50,8 @@
   t.is(bench.agent.load().queuedCount, 0);
 });
 
-// The same, found by the closed connection of the entry instead of a message.
-test.serial('the connection closes while it waits', async (t) => {
+// The same, detected by the closed connection of the entry instead of a message.
+test.serial('the connection closes while the request is queued', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100 });
   await reserve(bench, 'running');
   const connection = new AbortController();
@@ -61,7 +61,7 @@
   t.is(bench.agent.load().queuedCount, 0);
 });
 
-test.serial('cancelled while it is reserved', async (t) => {
+test.serial('cancelled after its reservation', async (t) => {
   const bench = await startBench(t);
   await reserve(bench, 'a');
   await cancel(bench, 'a');
@@ -72,7 +72,7 @@
   t.deepEqual(bench.engine.calls, []);
 });
 
-// Messages may overtake each other: the cancellation is handled before the reservation that it is for.
+// Messages may arrive out of order: the cancellation is handled before the reservation that it is for.
 test.serial('cancelled before its reservation arrives', async (t) => {
   const bench = await startBench(t);
   await cancel(bench, 'a');
@@ -93,10 +93,10 @@
 });
 
 test.serial(
-  'an export is dropped when its attempt is cancelled, and when its time is over',
+  'an export is dropped when its attempt is cancelled, and when it expires',
   async (t) => {
     const bench = await startBench(t);
-    const stopHeart = beatHeart(bench);
+    const stopHeartbeats = startHeartbeats(bench);
     await reserve(bench, 'a', { purpose: 'prefill' });
     const first = bench.agent.handlers.prefill(prefillRequest);
     await bench.clock.tickAsync(110);
@@ -109,18 +109,18 @@
     await reserve(bench, 'b', { purpose: 'prefill' });
     void bench.agent.handlers.prefill({ ...prefillRequest, attemptId: 'b' });
     await bench.clock.tickAsync(1000);
-    stopHeart();
+    stopHeartbeats();
     t.is(heldKvBytes(bench), 0);
     t.false(bench.engine.calls.includes('cancel b'));
   },
 );
 
-// A transfer still reads the export when its time is over. The engine keeps it as long, and cancelling
-// it would cut the transfer.
-test.serial('an export that is still read is left alone for a while', async (t) => {
+// A transfer still reads the export when it expires. The engine keeps it for as long, and cancelling the
+// attempt would abort the transfer.
+test.serial('an expired export that is still read is kept for a grace period', async (t) => {
   const bench = await startBench(t, { keptForMs: 300 });
   bench.engine.faults.keepsExports = true;
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'a', { purpose: 'prefill' });
   void bench.agent.handlers.prefill(prefillRequest);
   await bench.clock.tickAsync(1000);
@@ -133,7 +133,7 @@
   await reserve(bench, 'b', { purpose: 'prefill' });
   void bench.agent.handlers.prefill({ ...prefillRequest, attemptId: 'b' });
   await bench.clock.tickAsync(3000);
-  stopHeart();
+  stopHeartbeats();
   t.true(bench.engine.calls.includes('cancel b'));
   t.is(bench.engine.heldKvBytes(), 0);
 });
@@ -153,7 +153,7 @@
   t.false(bench.engine.calls.includes('decode a'));
 });
 
-test.serial('cancelled in the middle of its answer', async (t) => {
+test.serial('cancelled during its response', async (t) => {
   const bench = await startBench(t);
   await reserve(bench, 'a');
   const stream = openStream(bench, 'a');
@@ -166,7 +166,7 @@
   t.is(bench.engine.heldKvBytes(), 0);
 });
 
-test.serial('the connection closes in the middle of the answer', async (t) => {
+test.serial('the connection closes during the response', async (t) => {
   const bench = await startBench(t);
   await reserve(bench, 'a');
   const stream = openStream(bench, 'a');
@@ -185,8 +185,8 @@
   t.is(heldKvBytes(bench), 100);
 });
 
-// The engine refuses to cancel for a while. Its memory stays held, in truth and in the books, so that
-// nothing is granted against it; the cancellation is repeated until the engine's list lacks it.
+// The engine refuses to cancel for a while. The memory is still in use, so the lease table has to count it as
+// held; the cancellation is repeated until the engine no longer lists the attempt.
 test.serial('a cancellation that fails is repeated, and the memory counts as held', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100 });
   await reserve(bench, 'a');
@@ -203,55 +203,61 @@
   t.is((await reserve(bench, 'b')).kind, 'granted');
 });
 
-// The cancellation works, but its answer never comes. Waiting for it would hold the memory for no
-// reason; the engine's list shows that it is free.
-test.serial('a cancellation whose answer is lost is settled by the list', async (t) => {
-  const bench = await startBench(t);
-  await reserve(bench, 'a');
-  const stream = openStream(bench, 'a');
-  await bench.clock.tickAsync(50);
-  bench.engine.faults.cancel = 'answer-lost';
-  stream.disconnect();
-  await bench.clock.tickAsync(400);
-  t.is(heldKvBytes(bench), 0);
-});
+// The cancellation takes effect, but its response is lost. The engine's list shows that the memory is free
+// without waiting for the response.
+test.serial(
+  'a cancellation whose response is lost is confirmed by the list of the engine',
+  async (t) => {
+    const bench = await startBench(t);
+    await reserve(bench, 'a');
+    const stream = openStream(bench, 'a');
+    await bench.clock.tickAsync(50);
+    bench.engine.faults.cancel = 'answer-lost';
+    stream.disconnect();
+    await bench.clock.tickAsync(400);
+    t.is(heldKvBytes(bench), 0);
+  },
+);
 
-// The entry dies in the middle of an answer and its host stays silent, so that no connection closes.
-// Its heartbeats stop, and the engine's memory is free within 2 s.
-test.serial('memory is free within 2 s after the entry has gone', async (t) => {
+// The entry's machine fails during a response, so that no connection closes. The heartbeats stop, and the
+// engine's memory has to be free within 2 s.
+test.serial('memory is free within 2 s after the entry has failed', async (t) => {
   const bench = await startBench(t);
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'a', { maxOutputTokens: 900 });
   await reserve(bench, 'unused', { maxOutputTokens: 20 });
   void openStream(bench, 'a', { maxOutputTokens: 900 });
   await bench.clock.tickAsync(3000);
   t.is(bench.engine.holdings.size, 1);
-  stopHeart();
+  stopHeartbeats();
   await bench.clock.tickAsync(1990);
   t.is(bench.engine.heldKvBytes(), 0);
   t.is(heldKvBytes(bench), 0);
 });
 
-// As before, with an engine whose first cancellation is answered by silence.
-test.serial('memory is free within 2 s although a cancellation is lost', async (t) => {
-  const bench = await startBench(t);
-  const stopHeart = beatHeart(bench);
-  await reserve(bench, 'a', { maxOutputTokens: 900 });
-  void openStream(bench, 'a', { maxOutputTokens: 900 });
-  await bench.clock.tickAsync(800);
-  stopHeart();
-  bench.engine.faults.cancel = 'answer-lost';
-  await bench.clock.tickAsync(1990);
-  t.is(bench.engine.heldKvBytes(), 0);
-  t.is(heldKvBytes(bench), 0);
-});
+// The same, with an engine that does not respond to the first cancellation.
+test.serial(
+  'memory is free within 2 s even if the response to a cancellation is lost',
+  async (t) => {
+    const bench = await startBench(t);
+    const stopHeartbeats = startHeartbeats(bench);
+    await reserve(bench, 'a', { maxOutputTokens: 900 });
+    void openStream(bench, 'a', { maxOutputTokens: 900 });
+    await bench.clock.tickAsync(800);
+    stopHeartbeats();
+    bench.engine.faults.cancel = 'answer-lost';
+    await bench.clock.tickAsync(1990);
+    t.is(bench.engine.heldKvBytes(), 0);
+    t.is(heldKvBytes(bench), 0);
+  },
+);
 
-// The agent restarts. The engine still runs streams of the earlier process that nobody reads; their
-// memory counts as held until they are cancelled, after a short grace.
+// After a restart of the agent the engine still runs streams of the earlier process that nobody reads. Their
+// memory counts as held until they are cancelled, after a short grace period.
 test.serial('streams of an earlier process are cancelled', async (t) => {
   const bench = await startBench(t, {
     capacityKvBytes: 100,
-    before: ({ holdings }) =>
+    prepareEngine: ({ holdings }) =>
       holdings.set('left', { attemptId: 'left', phase: 'decode', heldKvBytes: 60 }),
   });
   t.is(heldKvBytes(bench), 60);
@@ -263,15 +269,18 @@
   t.is((await waiting).kind, 'granted');
 });
 
-test.serial('a cancellation that overtook its decode is caught by the audit', async (t) => {
-  // The decode call reaches the engine after its cancellation: the engine then runs a stream that is
-  // in nobody's books, and its memory is lost until somebody compares the lists.
-  const bench = await startBench(t);
-  bench.engine.holdings.set('late', { attemptId: 'late', phase: 'decode', heldKvBytes: 50 });
-  await bench.clock.tickAsync(1600);
-  t.is(bench.engine.heldKvBytes(), 0);
-  t.is(heldKvBytes(bench), 0);
-});
+test.serial(
+  'reconciliation finds a stream whose cancellation overtook its decode call',
+  async (t) => {
+    // The decode call reaches the engine after its cancellation: the engine then runs a stream that is not in
+    // the lease table, and its memory is lost until the table is compared with the engine's list.
+    const bench = await startBench(t);
+    bench.engine.holdings.set('late', { attemptId: 'late', phase: 'decode', heldKvBytes: 50 });
+    await bench.clock.tickAsync(1600);
+    t.is(bench.engine.heldKvBytes(), 0);
+    t.is(heldKvBytes(bench), 0);
+  },
+);
 
 function isToken(frame: StreamFrame): boolean {
   return frame.kind === 'tokens';
--- a/packages/agent/__tests__/helpers/agentBench.ts
+++ b/packages/agent/__tests__/helpers/agentBench.ts
@@ -1,4 +1,4 @@
-/** An agent beside a fake engine, under a paused clock. */
+/** Runs an agent with a fake engine and fake timers. */
 import FakeTimers from '@sinonjs/fake-timers';
 import type { ExecutionContext } from 'ava';
 import { okAsync } from 'neverthrow';
@@ -22,11 +22,11 @@
 }
 
 export interface BenchOptions extends FakeEngineOptions, Partial<Omit<AgentOptions, 'backend'>> {
-  /** Work that the engine already holds when the agent starts. */
-  before?: (engine: FakeEngine) => void;
+  /** Prepares the engine before the agent starts, such as with work that it already holds. */
+  prepareEngine?: (engine: FakeEngine) => void;
 }
 
-/** Starts an agent whose clock moves only by `clock.tickAsync`; undone when the test ends. */
+/** Starts an agent whose time advances only with `clock.tickAsync`; closed when the test ends. */
 export async function startBench(
   t: ExecutionContext,
   options: BenchOptions = {},
@@ -35,7 +35,7 @@
     toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'performance'],
   });
   const engine = createFakeEngine(options);
-  options.before?.(engine);
+  options.prepareEngine?.(engine);
   const agent = createAgent({
     instanceId: 'agent-1',
     service,
@@ -93,7 +93,7 @@
 export interface RunningStream {
   frames: StreamFrame[];
   done: Promise<void>;
-  /** The entry's connection closes. */
+  /** Closes the entry's connection. */
   disconnect(): void;
 }
 
@@ -134,14 +134,14 @@
 };
 
 /** Sends heartbeats of the entry until the returned function is called. */
-export function beatHeart({ agent }: AgentBench): () => void {
+export function startHeartbeats({ agent }: AgentBench): () => void {
   const timer = setInterval(() => {
     void agent.handlers.heartbeat(entry);
   }, 400);
   return () => clearInterval(timer);
 }
 
-export function accepted(generation: number, overrides: object = {}): AcceptedDocument {
+export function acceptedDocument(generation: number, overrides: object = {}): AcceptedDocument {
   return {
     generation,
     documentVersion: generation,
--- a/packages/agent/__tests__/helpers/fakeEngine.ts
+++ b/packages/agent/__tests__/helpers/fakeEngine.ts
@@ -1,4 +1,4 @@
-/** An engine in this process whose calls can be made to fail. Work holds memory until it is cancelled. */
+/** An in-process engine with injectable faults. Work holds memory until it ends or is cancelled. */
 import { err, errAsync, ok, okAsync, ResultAsync } from 'neverthrow';
 import type {
   CacheEvent,
@@ -36,7 +36,7 @@
     cancel: CancelFault;
     imports: ('stalls' | 'gone' | 'none')[];
     down: boolean;
-    /** Exports outlive their time, as while a transfer reads them. */
+    /** Exports are kept after they expire, as while a transfer reads them. */
     keepsExports: boolean;
     /** Chunks to send in place of the regular ones. */
     chunks?: Iterable<EngineChunk>;
@@ -44,7 +44,7 @@
     orderMs: number;
   };
   heldKvBytes(): number;
-  /** Ends all streams without their end marker and forgets everything. */
+  /** Ends all streams without their end marker and frees all memory. */
   crash(): void;
 }
 
@@ -65,7 +65,7 @@
     keepsExports: false,
     orderMs: 0,
   };
-  let life = new AbortController();
+  let crashController = new AbortController();
 
   const fromPromise = <Value>(promise: Promise<Value>) =>
     ResultAsync.fromSafePromise<Value, EngineError>(promise);
@@ -81,13 +81,16 @@
   ): AsyncGenerator<EngineChunk> {
     const { attemptId, maxOutputTokens } = input;
     const endOffset = firstOffset + maxOutputTokens;
-    const ends = AbortSignal.any([life.signal, ...(signal === undefined ? [] : [signal])]);
+    const endSignal = AbortSignal.any([
+      crashController.signal,
+      ...(signal === undefined ? [] : [signal]),
+    ]);
     if (faults.chunks !== undefined) {
       yield* faults.chunks;
     }
     for (let offset = firstOffset; offset < endOffset; offset += 1) {
-      await delay(stepMs, ends);
-      if (ends.aborted || !holdings.has(attemptId)) {
+      await delay(stepMs, endSignal);
+      if (endSignal.aborted || !holdings.has(attemptId)) {
         return;
       }
       yield { kind: 'token', attemptId, offset, text: ` t${offset}` };
@@ -164,8 +167,8 @@
     heldKvBytes: () =>
       [...holdings.values()].reduce((total, { heldKvBytes }) => total + heldKvBytes, 0),
     crash: () => {
-      life.abort();
-      life = new AbortController();
+      crashController.abort();
+      crashController = new AbortController();
       holdings.clear();
     },
     prefill: ({ attemptId, prompt }, signal) => {
--- a/packages/agent/__tests__/helpers/innerBench.ts
+++ b/packages/agent/__tests__/helpers/innerBench.ts
@@ -1,4 +1,4 @@
-/** An agent behind its real inner port, beside a fake engine or a plain server on loopback. */
+/** Runs an agent with its real inner port and a fake engine or a plain server on loopback. */
 import { createServer, type RequestListener, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { createTRPCClient, httpLink } from '@trpc/client';
@@ -112,10 +112,10 @@
     .map((event) => JSON.parse(event.slice('data: '.length)) as StreamFrame);
 }
 
-/** Polls until the condition holds; false after the limit. */
-export async function until(condition: () => boolean, limitMs = 2000): Promise<boolean> {
-  const limitAtMs = performance.now() + limitMs;
-  while (!condition() && performance.now() < limitAtMs) {
+/** Polls until the condition holds; resolves with false after `timeoutMs`. */
+export async function waitUntil(condition: () => boolean, timeoutMs = 2000): Promise<boolean> {
+  const deadlineAtMs = performance.now() + timeoutMs;
+  while (!condition() && performance.now() < deadlineAtMs) {
     await delay(5);
   }
   return condition();
--- a/packages/agent/__tests__/innerSecurity.test.ts
+++ b/packages/agent/__tests__/innerSecurity.test.ts
@@ -9,28 +9,28 @@
   type InnerAudience,
   type InnerSecurity,
 } from '@bluebellhitch/security';
-import { plainHeaders, startModelBench, startPlainBench, until } from './helpers/innerBench';
+import { plainHeaders, startModelBench, startPlainBench, waitUntil } from './helpers/innerBench';
 import { reservation } from './helpers/agentBench';
 
 const key = { id: 'k1', secret: 'the-secret-that-the-whole-fleet-knows' };
-const strangerKey = { id: 'k1', secret: 'a-secret-that-a-stranger-made-up-here' };
+const foreignKey = { id: 'k1', secret: 'a-secret-that-a-stranger-made-up-here' };
 const security = createInnerSecurity({ keys: [key], instanceId: 'agent-1' });
 const entry = createInnerSecurity({ keys: [key], instanceId: 'entry-1' });
-const stranger = createInnerSecurity({ keys: [strangerKey], instanceId: 'entry-1' });
+const foreignSender = createInnerSecurity({ keys: [foreignKey], instanceId: 'entry-1' });
 
 function clientOf(address: string, sender: InnerSecurity | undefined, audience: InnerAudience) {
   const headers = credentialHeaders(sender, audience);
   return createTRPCClient<AgentRouter>({ links: [httpLink({ url: `${address}/trpc`, headers })] });
 }
 
-// A process that lacks the key reaches the agent's port, asks for all of the engine's memory and gives an
-// order. Each call must end before the agent looks at it, so that nothing is held and nothing is ordered.
-test('a stranger can neither reserve memory nor give orders', async (t) => {
+// A process without the key reaches the agent's port, reserves memory and sends an order. Each call must be
+// rejected before the agent handles it, so that no memory is held and no order is executed.
+test('a sender without valid credentials can neither reserve memory nor send orders', async (t) => {
   const { agent, engine, server } = await startModelBench(t, {}, security);
   const order = { kind: 'load-model', model: 'm', version: '1' } as never;
   const senders = [
     clientOf(server.address, undefined, innerAudiences.agent),
-    clientOf(server.address, stranger, innerAudiences.agent),
+    clientOf(server.address, foreignSender, innerAudiences.agent),
     clientOf(server.address, entry, innerAudiences.feed),
   ];
   const refused = await Promise.all(
@@ -47,7 +47,7 @@
   t.is((await allowed.reserve.mutate(reservation('a'))).kind, 'granted');
 });
 
-// The sender keeps its body back: were any of it read first, the answer would never come.
+// The sender never sends its body: if the agent read it first, the response would never come.
 test('refuses with 401 before it reads a body', async (t) => {
   const { server } = await startModelBench(t, {}, security);
   const statuses = await Promise.all(
@@ -58,8 +58,8 @@
             method: 'POST',
             headers: { 'content-length': '1000' },
           });
-          call.on('response', (answer) => {
-            resolve(answer.statusCode);
+          call.on('response', (response) => {
+            resolve(response.statusCode);
             call.destroy();
           });
           call.on('error', reject);
@@ -70,15 +70,15 @@
   t.deepEqual(statuses, [401, 401, 401, 401]);
 });
 
-// `Authorization` on a plain call is its caller's: the backend server must get it, and must not get the
-// credentials of the entry.
+// `Authorization` on a plain call belongs to the caller and has to reach the backend server, which must not
+// get the credentials of the entry.
 test("plain calls carry the entry's credentials beside the caller's own", async (t) => {
   const seen: unknown[] = [];
   const { agent, server } = await startPlainBench(
     t,
-    ({ headers }, response) => {
+    ({ headers }, outgoing) => {
       seen.push(headers.authorization, headers['x-bluebell-authorization']);
-      response.end('balance');
+      outgoing.end('balance');
     },
     security,
   );
@@ -90,10 +90,10 @@
   t.like(await refused.json(), { kind: 'refused', notRun: true });
   t.deepEqual(seen, []);
   const bearer = (await entry.bearer(innerAudiences.agent)) ?? '';
-  const answer = await fetch(`${server.address}/plain/balance`, {
+  const response = await fetch(`${server.address}/plain/balance`, {
     headers: { ...own, 'x-bluebell-authorization': bearer },
   });
-  t.is(await answer.text(), 'balance');
+  t.is(await response.text(), 'balance');
   t.deepEqual(seen, ['Bearer of-the-caller', undefined]);
-  t.true(await until(() => agent.books.table.leases().length === 0));
+  t.true(await waitUntil(() => agent.books.table.leases().length === 0));
 });
--- a/packages/agent/__tests__/innerServer.test.ts
+++ b/packages/agent/__tests__/innerServer.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import type { EngineChunk } from '@bluebellhitch/engine';
 import { delay } from '@bluebellhitch/shared';
-import { parseFrames, startModelBench, until } from './helpers/innerBench';
+import { parseFrames, startModelBench, waitUntil } from './helpers/innerBench';
 import { reservation } from './helpers/agentBench';
 
 function streamBody(attemptId: string, maxOutputTokens = 90): string {
@@ -18,20 +18,20 @@
   });
 }
 
-test('streams an answer as events', async (t) => {
+test('streams a response as events', async (t) => {
   const { client, server } = await startModelBench(t);
   t.is((await client.reserve.mutate(reservation('a'))).kind, 'granted');
-  const answer = await fetch(`${server.address}/streams`, {
+  const response = await fetch(`${server.address}/streams`, {
     method: 'POST',
     body: streamBody('a'),
   });
-  t.is(answer.headers.get('content-type'), 'text/event-stream');
-  const frames = parseFrames(await answer.text());
+  t.is(response.headers.get('content-type'), 'text/event-stream');
+  const frames = parseFrames(await response.text());
   t.is(frames.length, 91);
   t.like(frames.at(-1), { kind: 'end', offset: 90 });
 });
 
-test('refuses a body that is no stream request', async (t) => {
+test('refuses a body that is not a stream request', async (t) => {
   const { server } = await startModelBench(t);
   const bodies = ['{', '{"entryId":"e"}', ''];
   const statuses = await Promise.all(
@@ -42,38 +42,38 @@
   t.deepEqual(statuses, [400, 400, 400]);
 });
 
-// The entry's connection breaks in the middle of an answer. Nobody reads on, so the engine's memory must
-// come free at once, without a message and before any lease lapses.
+// The entry's connection breaks during a response. The engine's memory must be freed at once, without a
+// message and before the lease lapses.
 test('a closed connection cancels the stream', async (t) => {
   const { client, server, engine } = await startModelBench(t);
   await client.reserve.mutate(reservation('a', { maxOutputTokens: 900 }));
   const connection = new AbortController();
-  const answer = await fetch(`${server.address}/streams`, {
+  const response = await fetch(`${server.address}/streams`, {
     method: 'POST',
     body: streamBody('a', 900),
     signal: connection.signal,
   });
-  await answer.body?.getReader().read();
+  await response.body?.getReader().read();
   t.is(engine.holdings.size, 1);
   connection.abort();
-  t.true(await until(() => engine.holdings.size === 0, 1000));
+  t.true(await waitUntil(() => engine.holdings.size === 0, 1000));
 });
 
-// The same for a request that still waits in the queue: its place goes to the next one.
-test('a closed connection leaves the queue', async (t) => {
+// The same for a queued request, which must not keep its place in the queue.
+test('a closed connection removes its request from the queue', async (t) => {
   const { agent, client } = await startModelBench(t, { capacityKvBytes: 100 });
   await client.reserve.mutate(reservation('running'));
   const connection = new AbortController();
   const waiting = client.reserve.mutate(reservation('a'), { signal: connection.signal });
-  t.true(await until(() => agent.load().queuedCount === 1));
+  t.true(await waitUntil(() => agent.load().queuedCount === 1));
   connection.abort();
   await t.throwsAsync(waiting);
-  t.true(await until(() => agent.load().queuedCount === 0, 500));
+  t.true(await waitUntil(() => agent.load().queuedCount === 0, 500));
 });
 
-// A receiver that does not read must not make the agent collect the answer in its memory: the engine's
+// A receiver that does not read must not make the agent buffer the response without limit: the engine's
 // stream is read only as fast as the receiver takes it.
-test('a slow receiver holds the engine back', async (t) => {
+test('a slow receiver slows the engine down', async (t) => {
   const { client, server, engine, agent } = await startModelBench(t);
   let produced = 0;
   engine.faults.chunks = (function* bigChunks(): Generator<EngineChunk> {
@@ -85,42 +85,42 @@
   await client.reserve.mutate(reservation('a'));
   const call = request(`${server.address}/streams`, { method: 'POST' });
   call.end(streamBody('a'));
-  const answer = await new Promise<IncomingMessage>((resolve) => {
+  const response = await new Promise<IncomingMessage>((resolve) => {
     call.on('response', resolve);
   });
-  answer.pause();
+  response.pause();
   await delay(300);
   const producedUnread = produced;
   await delay(100);
   t.is(produced, producedUnread);
   t.true(producedUnread < 1000);
   call.destroy();
-  t.true(await until(() => engine.holdings.size === 0));
-  t.true(await until(() => agent.load().activeCount === 0));
+  t.true(await waitUntil(() => engine.holdings.size === 0));
+  t.true(await waitUntil(() => agent.load().activeCount === 0));
 });
 
-// The process stops while the last part of an answer is still on its way to the entry.
-test('closing lets answers in progress reach their receivers', async (t) => {
+// The process stops while the last part of a response is still in transit to the entry.
+test('closing lets responses in progress complete', async (t) => {
   const { client, server } = await startModelBench(t);
   await client.reserve.mutate(reservation('a'));
-  const answer = await fetch(`${server.address}/streams`, {
+  const response = await fetch(`${server.address}/streams`, {
     method: 'POST',
     body: streamBody('a'),
   });
   const closed = server.close(5000);
-  t.like(parseFrames(await answer.text()).at(-1), { kind: 'end', offset: 90 });
+  t.like(parseFrames(await response.text()).at(-1), { kind: 'end', offset: 90 });
   await closed;
   await t.throwsAsync(fetch(`${server.address}/streams`, { method: 'POST' }));
 });
 
-test('closing cuts what outlives the grace', async (t) => {
+test('closing aborts responses that exceed the grace period', async (t) => {
   const { client, server, engine } = await startModelBench(t, { stepMs: 100 });
   await client.reserve.mutate(reservation('a'));
-  const answer = await fetch(`${server.address}/streams`, {
+  const response = await fetch(`${server.address}/streams`, {
     method: 'POST',
     body: streamBody('a'),
   });
   await server.close(50);
-  await t.throwsAsync(answer.text());
-  t.true(await until(() => engine.holdings.size === 0));
+  await t.throwsAsync(response.text());
+  t.true(await waitUntil(() => engine.holdings.size === 0));
 });
--- a/packages/agent/__tests__/leaving.test.ts
+++ b/packages/agent/__tests__/leaving.test.ts
@@ -1,11 +1,17 @@
 import test from 'ava';
-import { accepted, beatHeart, openStream, reserve, startBench } from './helpers/agentBench';
+import {
+  acceptedDocument,
+  startHeartbeats,
+  openStream,
+  reserve,
+  startBench,
+} from './helpers/agentBench';
 
-// A planned stop under load: what runs comes to its end, what waits is told at once that it did not
-// run, and nothing new begins.
+// A planned stop under load: running streams complete, queued requests are refused at once as not run, and no
+// new request starts.
 test.serial('leaving refuses new work and lets streams end', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100 });
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'running');
   const running = openStream(bench, 'running');
   const waiting = reserve(bench, 'waiting');
@@ -17,7 +23,7 @@
   t.false(bench.agent.isReady());
   const drained = bench.agent.drain(30_000);
   await bench.clock.tickAsync(1200);
-  stopHeart();
+  stopHeartbeats();
   t.true(await drained);
   await running.done;
   t.like(running.frames.at(-1), { kind: 'end', offset: 90 });
@@ -25,43 +31,43 @@
 
 test.serial('a reservation made before leaving is still served', async (t) => {
   const bench = await startBench(t);
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'a');
   bench.agent.leave();
   const stream = openStream(bench, 'a');
   await bench.clock.tickAsync(1200);
-  stopHeart();
+  stopHeartbeats();
   await stream.done;
   t.like(stream.frames.at(-1), { kind: 'end' });
 });
 
-test.serial('what outlives the bound is cancelled', async (t) => {
+test.serial('a stream that exceeds the drain timeout is cancelled', async (t) => {
   const bench = await startBench(t);
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'a', { maxOutputTokens: 900 });
   const stream = openStream(bench, 'a', { maxOutputTokens: 900 });
   bench.agent.leave();
   const drained = bench.agent.drain(1000);
   await bench.clock.tickAsync(1600);
-  stopHeart();
+  stopHeartbeats();
   t.false(await drained);
   t.is(bench.engine.heldKvBytes(), 0);
   t.like(stream.frames.at(-1), { kind: 'failed', notRun: false });
 });
 
-test.serial('the document takes an instance out and back', async (t) => {
+test.serial('the document drains an instance and readmits it', async (t) => {
   const bench = await startBench(t);
-  bench.agent.applyDocument(accepted(1, { drain: { instances: ['agent-1'] } }));
+  bench.agent.applyDocument(acceptedDocument(1, { drain: { instances: ['agent-1'] } }));
   t.like(await reserve(bench, 'a'), { kind: 'refused', reason: 'leaving', notRun: true });
-  bench.agent.applyDocument(accepted(2));
+  bench.agent.applyDocument(acceptedDocument(2));
   t.is((await reserve(bench, 'b')).kind, 'granted');
 });
 
-// A relay that lags delivers an old document after a new one. What is in force must not go back.
+// A lagging relay delivers an older document after a newer one, which has to stay active.
 test.serial('a lower generation is never applied', async (t) => {
   const bench = await startBench(t);
-  bench.agent.applyDocument(accepted(5));
-  bench.agent.applyDocument(accepted(4, { drain: { instances: ['agent-1'] } }));
+  bench.agent.applyDocument(acceptedDocument(5));
+  bench.agent.applyDocument(acceptedDocument(4, { drain: { instances: ['agent-1'] } }));
   t.is(bench.agent.config().generation, 5);
   t.true(bench.agent.isReady());
 });
--- a/packages/agent/__tests__/linkPacer.test.ts
+++ b/packages/agent/__tests__/linkPacer.test.ts
@@ -12,7 +12,7 @@
   t.is((await second)?.rateBytesPerSecond, 1000);
 });
 
-// A source on a slow link would hold the whole of this server's link for the length of its transfer.
+// Otherwise a source on a slow link would reserve the whole link of this server until its transfer ends.
 test('a slow source leaves the rest of the link to others', async (t) => {
   const pacer = createLinkPacer({ rateBytesPerSecond: 10_000_000 });
   Array.from({ length: 20 }, () => pacer.observe('slow', sample.bytes, sample.durationMs));
@@ -22,14 +22,14 @@
   t.true(other > 6_000_000 && other <= 7_500_000, String(other));
 });
 
-test('a waiter that leaves passes its turn on', async (t) => {
+test('an aborted waiter does not block the next one', async (t) => {
   const pacer = createLinkPacer({ rateBytesPerSecond: 1000 });
   const first = await pacer.acquire('a');
-  const gone = new AbortController();
-  const leaving = pacer.acquire('b', gone.signal);
+  const connection = new AbortController();
+  const aborted = pacer.acquire('b', connection.signal);
   const waiting = pacer.acquire('c');
-  gone.abort();
-  t.is(await leaving, undefined);
+  connection.abort();
+  t.is(await aborted, undefined);
   first?.release();
   t.is((await waiting)?.rateBytesPerSecond, 1000);
 });
--- a/packages/agent/__tests__/modelBid.test.ts
+++ b/packages/agent/__tests__/modelBid.test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 import { createLeaseTable, createPrefillBacklog } from '@bluebellhitch/decisions';
-import { describeModel } from '../src/modelBid';
+import { createModelBid } from '../src/modelBid';
 
-function describe(role: 'prefill' | 'decode') {
+function createBid(role: 'prefill' | 'decode') {
   const table = createLeaseTable({ capacity: { kvBytes: 1_000, slots: 4 } });
   const owner = { entryId: 'entry-1', entryIncarnation: '1' };
   const reservation = { attemptId: 'a', owner, purpose: 'prefill' as const, kvBytes: 600 };
   table.reserve({ ...reservation, neededInMs: 0, expectedHoldMs: 100 }, 0);
-  return describeModel({
+  return createModelBid({
     kvAddress: 'http://127.0.0.1:1',
     kvRateBytesPerSecond: 1_000,
     table,
@@ -18,12 +18,12 @@
   });
 }
 
-test('a prompt leaves a prefill worker behind all that is held there', (t) => {
-  t.is(describe('prefill').exportMs, 800);
+test('exporting a prompt waits for all memory that the prefill worker holds', (t) => {
+  t.is(createBid('prefill').exportMs, 800);
 });
 
-test('a decode worker exports nothing, and tells how long prompts wait', (t) => {
-  t.like(describe('decode'), {
+test('a decode worker exports nothing, and reports how long prompts wait', (t) => {
+  t.like(createBid('decode'), {
     exportMs: undefined,
     slowStepMs: 25,
     prefillWaitMs: 0,
--- a/packages/agent/__tests__/orders.test.ts
+++ b/packages/agent/__tests__/orders.test.ts
@@ -27,9 +27,9 @@
   };
 }
 
-// The agent starts while the platform is down, and an old holder sends an order. Nobody can tell
-// whether its number is the current one, so nobody is obeyed until the platform answers.
-test.serial('obeys nobody before the platform has told the current number', async (t) => {
+// The agent starts while the platform is down, and an earlier holder sends an order. The agent cannot know
+// whether its fencing number is current, so no order is accepted until the platform responds.
+test.serial('accepts no order before the current fencing number is known', async (t) => {
   const { state, readFencingNumber } = platform(undefined);
   const bench = await startBench(t, { readFencingNumber });
   t.is((await send(bench, 3)).kind, 'not-ready');
@@ -45,8 +45,8 @@
   );
 });
 
-// A holder lost its lease while its order waited behind a slow one. The engine ignores numbers: only
-// the check right before sending keeps the old order from taking effect.
+// A holder loses its lease while its order waits behind a slow one. The engine ignores fencing numbers: only
+// the check right before sending keeps the stale order from taking effect.
 test.serial('an order that became stale while it waited is not sent', async (t) => {
   const { state, readFencingNumber } = platform(1);
   const bench = await startBench(t, { readFencingNumber });
@@ -60,7 +60,7 @@
   t.deepEqual(await second, { kind: 'stale', highestFencingNumber: 2 });
 });
 
-test.serial('an order that outlived its sender is not sent', async (t) => {
+test.serial('an order whose validity ended while it waited is not sent', async (t) => {
   const bench = await startBench(t);
   bench.engine.faults.orderMs = 800;
   const first = send(bench, 1);
@@ -84,9 +84,9 @@
   );
 });
 
-// The agent was paused while an old holder's order lay in its socket: its validity counts from when it
-// is read, and the higher number was never seen here. The platform is asked before each order.
-test.serial('the platform is asked again before each order', async (t) => {
+// The agent was paused while an earlier holder's order waited in its socket. The order's validity counts from
+// when it is read, and the agent has not seen the higher number, so it reads the number before each order.
+test.serial('reads the fencing number from the platform before each order', async (t) => {
   const { state, readFencingNumber } = platform(1);
   const bench = await startBench(t, { readFencingNumber });
   state.number = 9;
@@ -100,7 +100,7 @@
   t.deepEqual(bench.engine.orders, []);
 });
 
-test.serial('tells what runs and the highest number', async (t) => {
+test.serial('reports the loaded models and the highest fencing number', async (t) => {
   const bench = await startBench(t, { readFencingNumber: () => okAsync(6) });
   await bench.clock.tickAsync(10);
   t.deepEqual(await bench.agent.handlers.workerState(), {
--- a/packages/agent/__tests__/plainProxy.test.ts
+++ b/packages/agent/__tests__/plainProxy.test.ts
@@ -2,9 +2,9 @@
 import test from 'ava';
 import { innerHeaders } from '@bluebellhitch/protocol';
 import { delay } from '@bluebellhitch/shared';
-import { plainHeaders, startPlainBench, startPlainBenchAt, until } from './helpers/innerBench';
+import { plainHeaders, startPlainBench, startPlainBenchAt, waitUntil } from './helpers/innerBench';
 
-test('passes method, path, headers and body both ways', async (t) => {
+test('forwards method, path, headers and body both ways', async (t) => {
   const seen: { method?: string; url?: string; headers?: IncomingMessage['headers'] } = {};
   const { server } = await startPlainBench(t, (incoming, outgoing) => {
     Object.assign(seen, { method: incoming.method, url: incoming.url, headers: incoming.headers });
@@ -19,16 +19,16 @@
     );
     incoming.pipe(outgoing);
   });
-  const answer = await fetch(`${server.address}/plain/receipts/7?full=1`, {
+  const response = await fetch(`${server.address}/plain/receipts/7?full=1`, {
     method: 'PUT',
     body: 'a receipt',
     headers: { ...plainHeaders('a'), 'x-own': 'kept', te: 'trailers' },
   });
-  t.is(answer.status, 201);
-  t.is(await answer.text(), 'a receipt');
-  t.deepEqual(answer.headers.getSetCookie(), ['one=1', 'two=2']);
-  t.is(answer.headers.get(innerHeaders.notRun), null);
-  t.like(JSON.parse(answer.headers.get(innerHeaders.load) ?? '{}'), { role: 'plain' });
+  t.is(response.status, 201);
+  t.is(await response.text(), 'a receipt');
+  t.deepEqual(response.headers.getSetCookie(), ['one=1', 'two=2']);
+  t.is(response.headers.get(innerHeaders.notRun), null);
+  t.like(JSON.parse(response.headers.get(innerHeaders.load) ?? '{}'), { role: 'plain' });
   t.like(seen, { method: 'PUT', url: '/receipts/7?full=1' });
   t.is(seen.headers?.['x-own'], 'kept');
   t.is(seen.headers?.te, undefined);
@@ -38,7 +38,7 @@
   );
 });
 
-test('an answer begins before its request has ended', async (t) => {
+test('a response starts before its request has ended', async (t) => {
   const { server } = await startPlainBench(t, (incoming, outgoing) => {
     outgoing.writeHead(200);
     incoming.pipe(outgoing);
@@ -49,13 +49,13 @@
     headers: plainHeaders('a'),
   });
   call.write('first');
-  const answer = await new Promise<IncomingMessage>((resolve) => {
+  const response = await new Promise<IncomingMessage>((resolve) => {
     call.on('response', resolve);
   });
-  answer.on('data', (part: Buffer) => parts.push(part.toString()));
-  t.true(await until(() => parts.join('') === 'first'));
+  response.on('data', (part: Buffer) => parts.push(part.toString()));
+  t.true(await waitUntil(() => parts.join('') === 'first'));
   call.end(' second');
-  t.true(await until(() => parts.join('') === 'first second'));
+  t.true(await waitUntil(() => parts.join('') === 'first second'));
 });
 
 test('refuses calls without the inner headers', async (t) => {
@@ -63,42 +63,42 @@
   t.is((await fetch(`${server.address}/plain/x`)).status, 400);
 });
 
-// The backend server is not there: the connection is refused before anything was sent, so the call
-// certainly did not run and may go elsewhere.
-test('a refused connection is told as not run', async (t) => {
+// The backend server is not running: the connection is refused before anything was sent, so the call
+// certainly did not run and may be sent to another instance.
+test('a refused connection is reported as not run', async (t) => {
   const { server, agent } = await startPlainBenchAt(t, 'http://127.0.0.1:1');
-  const answer = await fetch(`${server.address}/plain/x`, { headers: plainHeaders('a') });
-  t.is(answer.status, 503);
-  t.is(answer.headers.get(innerHeaders.notRun), 'true');
-  t.is(answer.headers.get(innerHeaders.refusal), 'backend-failed');
+  const response = await fetch(`${server.address}/plain/x`, { headers: plainHeaders('a') });
+  t.is(response.status, 503);
+  t.is(response.headers.get(innerHeaders.notRun), 'true');
+  t.is(response.headers.get(innerHeaders.refusal), 'backend-failed');
   t.is(agent.load().activeCount, 0);
 });
 
-// The backend server dies with the call in its hands. Nobody knows whether it ran, so nobody says that
-// it did not.
-test('a connection that breaks before the answer leaves it open', async (t) => {
+// The backend server dies while it handles the call. It is unknown whether the call ran, so the agent must
+// not report it as not run.
+test('a connection that breaks before the response is not reported as not run', async (t) => {
   const { server } = await startPlainBench(t, (incoming) => incoming.socket.destroy());
-  const answer = await fetch(`${server.address}/plain/x`, {
+  const response = await fetch(`${server.address}/plain/x`, {
     method: 'POST',
     body: 'dispatch',
     headers: plainHeaders('a'),
   });
-  t.is(answer.status, 503);
-  t.is(answer.headers.get(innerHeaders.notRun), null);
+  t.is(response.status, 503);
+  t.is(response.headers.get(innerHeaders.notRun), null);
 });
 
-// The answer breaks in the middle. A clean end would pass the half for the whole.
-test('an answer that breaks in the middle is cut', async (t) => {
+// If the agent ended a broken response normally, it would look complete.
+test('a response that breaks is aborted', async (t) => {
   const { server } = await startPlainBench(t, (_, outgoing) => {
     outgoing.writeHead(200);
     outgoing.write('half');
     setTimeout(() => outgoing.destroy(), 20);
   });
-  const answer = await fetch(`${server.address}/plain/x`, { headers: plainHeaders('a') });
-  await t.throwsAsync(answer.text());
+  const response = await fetch(`${server.address}/plain/x`, { headers: plainHeaders('a') });
+  await t.throwsAsync(response.text());
 });
 
-// The caller of a slow lookup goes away: its slot must not wait for the backend server.
+// The caller of a slow call disconnects: the slot must be freed before the backend server responds.
 test('a closed connection aborts the call and frees its slot', async (t) => {
   let aborted = false;
   const { server, agent } = await startPlainBench(t, (incoming) => {
@@ -107,19 +107,20 @@
     });
   });
   const connection = new AbortController();
-  const answer = fetch(`${server.address}/plain/x`, {
+  const response = fetch(`${server.address}/plain/x`, {
     headers: plainHeaders('a', 60_000),
     signal: connection.signal,
   });
-  t.true(await until(() => agent.load().activeCount === 1));
+  t.true(await waitUntil(() => agent.load().activeCount === 1));
   await delay(20);
   connection.abort();
-  await t.throwsAsync(answer, { any: true });
-  t.true(await until(() => aborted && agent.load().activeCount === 0));
+  await t.throwsAsync(response, { any: true });
+  t.true(await waitUntil(() => aborted && agent.load().activeCount === 0));
 });
 
-// The entry lost the answer and sends the same attempt again: some of these calls dispatch a crew.
-test('an attempt is passed on once', async (t) => {
+// The entry lost the response and sends the same attempt again. A repeated call may have effects, such as
+// dispatching a crew twice.
+test('an attempt is forwarded once', async (t) => {
   let calls = 0;
   const { server } = await startPlainBench(t, (_, outgoing) => {
     calls += 1;
@@ -133,7 +134,7 @@
   t.is(calls, 1);
 });
 
-test('slots bound the calls; the rest waits, and is refused as not run when that is hopeless', async (t) => {
+test('calls beyond the slots are queued, or refused as not run if they cannot be served in time', async (t) => {
   const running: (() => void)[] = [];
   const { server, agent } = await startPlainBench(t, (_, outgoing) => {
     running.push(() => outgoing.end('done'));
@@ -142,17 +143,17 @@
   const send = (attemptId: string, deadlineInMs?: number) =>
     fetch(`${server.address}/plain/x`, { headers: plainHeaders(attemptId, deadlineInMs) });
   const first = [send('a'), send('b')];
-  t.true(await until(() => running.length === 2));
+  t.true(await waitUntil(() => running.length === 2));
   const waiting = send('c');
-  t.true(await until(() => agent.load().queuedCount === 1));
+  t.true(await waitUntil(() => agent.load().queuedCount === 1));
   const hopeless = await send('d', 10);
   t.is(hopeless.headers.get(innerHeaders.notRun), 'true');
   t.is(hopeless.headers.get(innerHeaders.refusal), 'deadline-hopeless');
   running[0]?.();
-  t.true(await until(() => running.length === 3));
+  t.true(await waitUntil(() => running.length === 3));
   running.forEach((finish) => finish());
   const statuses = await Promise.all(
-    [...first, waiting].map(async (answer) => (await answer).status),
+    [...first, waiting].map(async (response) => (await response).status),
   );
   t.deepEqual(statuses, [200, 200, 200]);
 });
@@ -163,7 +164,7 @@
     finish = () => outgoing.end('done');
   });
   const running = fetch(`${server.address}/plain/x`, { headers: plainHeaders('a') });
-  t.true(await until(() => agent.load().activeCount === 1));
+  t.true(await waitUntil(() => agent.load().activeCount === 1));
   await delay(20);
   agent.leave();
   const refused = await fetch(`${server.address}/plain/x`, { headers: plainHeaders('b') });
--- a/packages/agent/__tests__/settings.test.ts
+++ b/packages/agent/__tests__/settings.test.ts
@@ -21,7 +21,7 @@
   });
 }
 
-test('takes the environment, flags first, and defaults', async (t) => {
+test('resolves flags before the environment before defaults', async (t) => {
   const settings = (await resolve(required, ['--instance-id', 'agent-2']))._unsafeUnwrap();
   t.like(settings, { instanceId: 'agent-2', backendKind: 'model', innerHost: '127.0.0.1' });
   t.is(settings.innerPort, 0);
--- a/packages/agent/__tests__/streams.test.ts
+++ b/packages/agent/__tests__/streams.test.ts
@@ -1,7 +1,13 @@
 import test from 'ava';
-import { beatHeart, openStream, reserve, startBench, transferSource } from './helpers/agentBench';
+import {
+  startHeartbeats,
+  openStream,
+  reserve,
+  startBench,
+  transferSource,
+} from './helpers/agentBench';
 
-test.serial('imports the prompt before it decodes', async (t) => {
+test.serial('imports the KV cache of the prompt before it decodes', async (t) => {
   const bench = await startBench(t);
   await reserve(bench, 'a');
   const stream = openStream(bench, 'a', { source: transferSource });
@@ -11,9 +17,9 @@
   t.like(stream.frames.at(-1), { kind: 'end', offset: 90 });
 });
 
-// The link to the prefill worker stalls in the middle of the transfer. A total timeout would outlive the
-// kept export; no progress in one interval cuts it early enough to try the same export once more.
-test.serial('a stalled transfer is cut and tried again from the kept export', async (t) => {
+// The link to the prefill worker stalls during the transfer. A total timeout would outlast the kept export;
+// aborting after one interval without progress leaves time to transfer the same export again.
+test.serial('a stalled transfer is aborted and retried from the kept export', async (t) => {
   const bench = await startBench(t);
   bench.engine.faults.imports = ['stalls'];
   await reserve(bench, 'a');
@@ -33,8 +39,8 @@
   t.like(stream.frames.at(-1), { kind: 'end', offset: 90 });
 });
 
-// The transfer failed and the prompt is long: a local prefill would end long after the target. The
-// caller learns now that nothing ran, rather than getting a late answer.
+// The transfer fails and the prompt is long: a local prefill would end long after the first-token target. The
+// request fails at once as not run instead of getting a late response.
 test.serial('no local prefill that ends long after the target', async (t) => {
   const bench = await startBench(t, { capacityKvBytes: 100_000 });
   bench.engine.faults.imports = ['gone'];
@@ -48,7 +54,7 @@
   t.is(bench.agent.load().activeCount, 0);
 });
 
-test.serial('continues behind the output of an earlier attempt', async (t) => {
+test.serial('continues after the output of an earlier attempt', async (t) => {
   const bench = await startBench(t);
   await reserve(bench, 'a');
   const stream = openStream(bench, 'a', {
@@ -62,9 +68,9 @@
   t.is(stream.frames.length, 31);
 });
 
-// The engine dies in the middle of an answer. The entry needs to know that tokens went out, that the
-// request may have caused it, and the books must not keep the dead engine's memory.
-test.serial('an engine that dies in the middle of an answer', async (t) => {
+// The engine dies during a response. The entry has to learn that tokens were sent and that the request may
+// have caused the crash, and the lease table must not keep the dead engine's memory.
+test.serial('an engine that dies during a response', async (t) => {
   const bench = await startBench(t);
   await reserve(bench, 'a');
   const stream = openStream(bench, 'a');
@@ -77,7 +83,7 @@
 });
 
 test.serial(
-  'an engine that dies before the first token leaves it open whether the request ran',
+  'after a crash before the first token it is unknown whether the request ran',
   async (t) => {
     const bench = await startBench(t);
     await reserve(bench, 'a');
@@ -100,8 +106,8 @@
   t.like(stream.frames[0], { kind: 'failed', backendDied: false, notRun: true });
 });
 
-// The entry loses the answer's connection and sends the same attempt again. The first one ran: a second
-// run could crew a truck twice.
+// The entry loses the connection of the response and sends the same attempt again. The first one ran, and a
+// second run could repeat its effects, such as crewing a truck twice.
 test.serial('an attempt runs once, however often it is sent', async (t) => {
   const bench = await startBench(t);
   await reserve(bench, 'a');
@@ -118,8 +124,8 @@
   t.like(await reserve(bench, 'a'), { kind: 'refused', notRun: false });
 });
 
-// The same after a restart of the agent: it does not know the attempt, has no lease for it, and cannot
-// say whether its predecessor ran it.
+// After a restart the agent does not know the attempt, has no lease for it, and cannot know whether the earlier
+// process ran it.
 test.serial('an attempt without a lease does not run', async (t) => {
   const bench = await startBench(t);
   const stream = openStream(bench, 'a');
@@ -137,7 +143,7 @@
   t.like(stream.frames[0], { kind: 'failed', reason: 'unknown-lease', notRun: true });
 });
 
-// The engine sends a chunk of another caller's answer, and one twice. The caller must not see either.
+// The engine sends chunks of another caller's response, and one chunk twice. The caller must get neither.
 test.serial('chunks of other attempts and repeated ones are dropped', async (t) => {
   const dropped: string[] = [];
   const bench = await startBench(t, {
@@ -157,7 +163,7 @@
   t.false(JSON.stringify(stream.frames).includes('secret'));
 });
 
-test.serial('an answer with a gap is not completed', async (t) => {
+test.serial('a response with a gap is not completed', async (t) => {
   const bench = await startBench(t);
   bench.engine.faults.chunks = [
     { kind: 'token', attemptId: 'a', offset: 0, text: ' t0' },
@@ -171,14 +177,14 @@
   t.is(bench.engine.heldKvBytes(), 0);
 });
 
-// The engine neither dies nor goes on: no connection breaks, and the caller would wait for ever.
-test.serial('a stalled engine is found by its missing progress', async (t) => {
+// The engine hangs without closing the connection, so that the caller would wait for ever.
+test.serial('a stalled engine is detected by its missing progress', async (t) => {
   const bench = await startBench(t, { stepMs: 60_000 });
-  const stopHeart = beatHeart(bench);
+  const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'a');
   const stream = openStream(bench, 'a');
   await bench.clock.tickAsync(31_000);
-  stopHeart();
+  stopHeartbeats();
   await stream.done;
   t.like(stream.frames[0], { kind: 'failed', reason: 'backend-failed', notRun: 'unknown' });
   t.is(bench.engine.heldKvBytes(), 0);
--- a/packages/agent/src/admission.ts
+++ b/packages/agent/src/admission.ts
@@ -1,6 +1,7 @@
 /**
- * Grants the backend server's memory: reservations are granted at once, against predicted releases,
- * or wait in the queue. The pump runs after each change and on each tick.
+ * Admission control for the backend server's memory and slots. A reservation is granted at once, granted
+ * against memory that is predicted to be released in time, queued, or refused. The queue is processed after
+ * each change and on each tick.
  */
 import {
   createAdmissionQueue,
@@ -24,7 +25,7 @@
   neededInMs: number;
   expectedHoldMs: number;
   waitLimitMs: number;
-  /** Not positive: the target is missed already, and only `waitLimitMs` bounds the wait. */
+  /** Zero or negative if the first-token target has passed; then only `waitLimitMs` bounds the wait. */
   firstTokenDeadlineInMs: number;
 }
 
@@ -34,24 +35,24 @@
 
 export interface AdmissionOptions {
   table: LeaseTable;
-  /** Called with the wait of each granted request. */
+  /** Called for each granted request with the time it spent in the queue. */
   onGranted?: (request: AdmissionRequest, waitedMs: number) => void;
 }
 
 export interface Admission {
   reserve(request: AdmissionRequest, signal?: AbortSignal): Promise<AdmissionOutcome>;
-  /** Waits until a promised lease holds its memory; false where it ends or the time is over. */
-  untilHeld(attemptId: string, limitMs: number, signal?: AbortSignal): Promise<boolean>;
-  /** Answers a waiting request; false where it does not wait. */
+  /** Waits until a promised lease holds its memory; false if the lease ends, or on timeout or abort. */
+  waitUntilHeld(attemptId: string, timeoutMs: number, signal?: AbortSignal): Promise<boolean>;
+  /** Removes a request from the queue and refuses it as cancelled; false if it is not queued. */
   cancelWaiting(attemptId: string): boolean;
   refuseAllWaiting(reason: AgentRefusalReason, detail: string): void;
-  /** Grants what can be granted. Call after memory was freed, and on each tick. */
-  pump(): void;
+  /** Grants or refuses queued requests where possible. Call after memory was freed, and on each tick. */
+  processQueue(): void;
   setClasses(classes: ReadonlyMap<string, QueueClass>): void;
   queuedCount(): number;
   /**
-   * When a request of this size would be usable behind those that wait with an earlier deadline, by
-   * default behind all; undefined: never.
+   * Predicted time until this much memory is usable, after the queued requests with an earlier deadline,
+   * by default after all of them; undefined if the request exceeds the capacity.
    */
   usableInMs(kvBytes: number, deadlineAtMs?: number): number | undefined;
 }
@@ -67,7 +68,7 @@
   resolve(isHeld: boolean): void;
 }
 
-/** Enough for the most urgent case, a queue that moves with each finished request. */
+/** Long enough even for a queue that advances with each finished request. */
 const minRetryAfterMs = 50;
 
 export function createAdmission(options: AdmissionOptions): Admission {
@@ -87,7 +88,7 @@
     return table.usableInMs(demand, nowMs) ?? extrapolateUsableInMs(demand, capacity, nowMs);
   }
 
-  /** A queue longer than the memory takes several rounds of it. */
+  /** A demand beyond the total capacity needs that capacity to be released several times. */
   function extrapolateUsableInMs(
     demand: LeaseCapacity,
     capacity: LeaseCapacity,
@@ -136,32 +137,32 @@
     if (predictedMs === undefined) {
       return refuse(agentRefusalReasons.noCapacity, 'larger than the whole memory');
     }
-    if (isHopeless(request, predictedMs)) {
+    if (missesDeadline(request, predictedMs)) {
       return refuse(
         agentRefusalReasons.deadlineHopeless,
         `memory is expected to be free in ${Math.round(predictedMs)} ms`,
         predictedMs,
       );
     }
-    return join(request, predictedMs, signal);
+    return enqueue(request, predictedMs, signal);
   }
 
-  function join(
+  function enqueue(
     request: AdmissionRequest,
     predictedMs: number,
     signal?: AbortSignal,
   ): Promise<AdmissionOutcome> {
     return new Promise((resolve) => {
-      const leave = () => cancelWaiting(request.attemptId);
-      const waiting = toWaiting(request, (outcome) => {
-        signal?.removeEventListener('abort', leave);
+      const onAbort = () => cancelWaiting(request.attemptId);
+      const waiting = createWaitingRequest(request, (outcome) => {
+        signal?.removeEventListener('abort', onAbort);
         resolve(outcome);
       });
       if (queue.offer(waiting).kind === 'queue-full') {
         resolve(refuse(agentRefusalReasons.queueFull, 'the class has its limit', predictedMs));
         return;
       }
-      signal?.addEventListener('abort', leave);
+      signal?.addEventListener('abort', onAbort);
       grantWaiting();
     });
   }
@@ -197,29 +198,33 @@
   }
 
   /**
-   * A request whose memory will not come in time is answered now: held until its deadline, its caller
-   * would learn too late to go elsewhere.
+   * Refuses queued requests whose memory will not be free in time. If they waited until their deadline, the
+   * caller would have no time left to try another instance.
    */
-  function giveUpHopeless(): void {
+  function refuseLateWaiters(): void {
     const nowMs = monotonicNowMs();
     const expired = queue.expire(nowMs);
-    const hopeless = queue
+    const late = queue
       .waiters()
-      .filter((waiting) => comesTooLate(waiting, nowMs))
+      .filter((waiting) => willBeLate(waiting, nowMs))
       .flatMap(({ id }) => queue.remove(id) ?? []);
-    [...expired, ...hopeless].forEach(({ request, settle }) => {
+    [...expired, ...late].forEach(({ request, settle }) => {
       const predictedMs = usableInMs(request.kvBytes) ?? 0;
       settle(refuse(agentRefusalReasons.deadlineHopeless, 'waited in vain', predictedMs));
     });
   }
 
-  /** Judged as if nobody else waited, so that only the certain cases are given up early. */
-  function comesTooLate({ request, waitUntilMs }: WaitingRequest, nowMs: number): boolean {
+  /** Ignores the other queued requests, so that only requests that are certain to be late are refused early. */
+  function willBeLate({ request, waitUntilMs }: WaitingRequest, nowMs: number): boolean {
     const aloneMs = table.usableInMs({ kvBytes: request.kvBytes, slots: 1 }, nowMs);
     return aloneMs !== undefined && nowMs + aloneMs - request.neededInMs > waitUntilMs;
   }
 
-  function untilHeld(attemptId: string, limitMs: number, signal?: AbortSignal): Promise<boolean> {
+  function waitUntilHeld(
+    attemptId: string,
+    timeoutMs: number,
+    signal?: AbortSignal,
+  ): Promise<boolean> {
     const state = table.get(attemptId)?.state;
     if (state !== 'promised') {
       return Promise.resolve(state !== undefined && state !== 'releasing');
@@ -227,19 +232,19 @@
     return new Promise((resolve) => {
       const finish = (isHeld: boolean) => {
         clearTimeout(timer);
-        signal?.removeEventListener('abort', giveUp);
+        signal?.removeEventListener('abort', cancelWait);
         heldWaiters.delete(waiter);
         resolve(isHeld);
       };
-      const giveUp = () => finish(false);
+      const cancelWait = () => finish(false);
       const waiter: HeldWaiter = { attemptId, resolve: finish };
-      const timer = setTimeout(giveUp, limitMs);
-      signal?.addEventListener('abort', giveUp);
+      const timer = setTimeout(cancelWait, timeoutMs);
+      signal?.addEventListener('abort', cancelWait);
       heldWaiters.add(waiter);
     });
   }
 
-  function answerHeldWaiters(): void {
+  function resolveHeldWaiters(): void {
     [...heldWaiters].forEach((waiter) => {
       const state = table.get(waiter.attemptId)?.state;
       if (state !== 'promised') {
@@ -248,18 +253,18 @@
     });
   }
 
-  function pump(): void {
+  function processQueue(): void {
     table.settle();
-    answerHeldWaiters();
-    giveUpHopeless();
+    resolveHeldWaiters();
+    refuseLateWaiters();
     grantWaiting();
   }
 
   return {
     reserve,
-    untilHeld,
+    waitUntilHeld,
     cancelWaiting,
-    pump,
+    processQueue,
     usableInMs,
     refuseAllWaiting: (reason, detail) => {
       queue.waiters().forEach((waiting) => {
@@ -272,15 +277,15 @@
   };
 }
 
-/** Whether memory comes too late for the wait that the entry allows or for the first token. */
-function isHopeless(request: AdmissionRequest, usableInMs: number): boolean {
+/** Whether the memory is free too late for the wait that the entry allows, or for the first-token target. */
+function missesDeadline(request: AdmissionRequest, usableInMs: number): boolean {
   const waitMs = Math.max(0, usableInMs - request.neededInMs);
   const missesTarget =
     request.firstTokenDeadlineInMs > 0 && usableInMs > request.firstTokenDeadlineInMs;
   return waitMs > request.waitLimitMs || missesTarget;
 }
 
-function toWaiting(
+function createWaitingRequest(
   request: AdmissionRequest,
   settle: (outcome: AdmissionOutcome) => void,
 ): WaitingRequest {
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,6 +1,6 @@
 /**
- * The agent of one backend server: it alone grants the server's memory or slots. Everything that
- * needs no socket is put together here; `innerServer` gives it its sockets.
+ * The agent of one backend server, which is the only process that grants the server's memory or slots. This
+ * module assembles the components that need no sockets; `innerServer` adds the network interface.
  */
 import {
   createCacheView,
@@ -29,11 +29,11 @@
 import { createAttemptRecord, type AttemptRecord } from './attemptRecord';
 import { createCachedPrefix } from './cachedPrefix';
 import { createEngineMonitor } from './engineMonitor';
-import { createLeaseKeeper, type LeaseKeeper } from './leaseKeeper';
+import { createLeaseReleaser, type LeaseReleaser } from './leaseReleaser';
 import { drainLeases } from './drainLeases';
 import { reportLoad } from './loadReport';
-import { describeModel } from './modelBid';
-import { createModelParts } from './modelParts';
+import { createModelBid } from './modelBid';
+import { createModelComponents } from './modelComponents';
 import type { ReadFencingNumber } from './orderExecutor';
 import { createReservations, type Reservations } from './reservations';
 import type { FrameSink } from './chunkForwarder';
@@ -46,12 +46,12 @@
 export interface AgentOptions {
   instanceId: string;
   service: string;
-  /** Changes with each start of the process. */
+  /** Identifies one run of the process; changes with each start. */
   incarnation: string;
   backend: AgentBackend;
-  /** Reported until the engine has told its own. */
+  /** Role reported until the engine has reported its own. */
   initialRole?: WorkerRole;
-  /** Reads the fencing number of the service's duty lease from the platform. */
+  /** Reads the fencing number of the service's order duty from the platform. */
   readFencingNumber: ReadFencingNumber;
   observer?: Partial<AgentObserver>;
   random?: Random;
@@ -61,25 +61,25 @@
 export interface Agent {
   handlers: AgentHandlers;
   runStream(request: StreamRequest, sink: FrameSink, signal: AbortSignal): Promise<void>;
-  /** Resolves once the backend server is known and memory left from before is in the books. */
+  /** Resolves once the engine responds and memory that it still holds for earlier work is in the lease table. */
   start(): Promise<void>;
-  /** A lower generation than the one in force is ignored. */
+  /** Ignores a document whose generation is not above that of the active one. */
   applyDocument(accepted: AcceptedDocument): void;
-  /** Refuses new work from now on. */
+  /** Refuses new reservations from now on; granted ones are still served. */
   leave(): void;
-  /** Resolves once nothing is held, or with false after `boundMs`; what is left is then cancelled. */
-  drain(boundMs: number): Promise<boolean>;
+  /** Resolves with true once no work is left; with false after `timeoutMs`, when the rest was cancelled. */
+  drain(timeoutMs: number): Promise<boolean>;
   close(): void;
   isReady(): boolean;
   config(): AgentConfig;
   load(): LoadHint;
-  /** For the plain proxy, which runs its calls under the same books. */
-  books: AgentBooks;
+  /** For the plain proxy, whose calls take leases from the same table. */
+  books: LeaseComponents;
 }
 
-export interface AgentBooks {
+export interface LeaseComponents {
   table: LeaseTable;
-  keeper: LeaseKeeper;
+  releaser: LeaseReleaser;
   attempts: AttemptRecord;
   estimates: WorkEstimates;
   reservations: Reservations;
@@ -94,28 +94,28 @@
   const estimates = createWorkEstimates({ service });
   const attempts = createAttemptRecord();
   const cacheView = createCacheView();
-  const cached = createCachedPrefix(cacheView);
+  const cachedPrefix = createCachedPrefix(cacheView);
   const backlog = createPrefillBacklog();
   const table = createLeaseTable({ capacity: { kvBytes: 0, slots: 0 } });
-  const books = { table, backlog, estimates };
+  const bidSources = { table, backlog, estimates };
   let config = defaultAgentConfig;
   let isStopping = false;
-  let hasAudited = backend.kind === 'plain';
-  let lastRole: WorkerRole = options.initialRole ?? 'both';
-  let ticker: NodeJS.Timeout | undefined;
+  let hasReconciled = backend.kind === 'plain';
+  let lastReportedRole: WorkerRole = options.initialRole ?? 'both';
+  let tickTimer: NodeJS.Timeout | undefined;
 
   const isLeaving = () => isStopping || config.drainedInstances.includes(instanceId);
   const engine = backend.kind === 'model' ? backend.engine : undefined;
 
   const admission = createAdmission({ table });
-  const keeper = createLeaseKeeper({
+  const releaser = createLeaseReleaser({
     table,
     engine,
     onCancelFailed: observer.onCancelFailed,
     onEnded: (attemptId) => {
       reservations.forget(attemptId);
       observer.onEnded(attemptId);
-      admission.pump();
+      admission.processQueue();
     },
   });
   const reservations: Reservations = createReservations({
@@ -123,7 +123,7 @@
     incarnation,
     table,
     admission,
-    keeper,
+    releaser,
     attempts,
     estimates,
     observer,
@@ -137,19 +137,19 @@
     createEngineMonitor({
       engine,
       cacheView,
-      onLoad: takeEngineLoad,
+      onLoad: applyEngineLoad,
       onDown: () => admission.refuseAllWaiting(agentRefusalReasons.notReady, 'the engine is down'),
       onPoll: async () => {
-        hasAudited = (await keeper.audit()) || hasAudited;
+        hasReconciled = (await releaser.reconcile()) || hasReconciled;
       },
     });
-  const model =
+  const modelComponents =
     backend.kind === 'model'
-      ? createModelParts({
+      ? createModelComponents({
           ...backend,
           service,
           table,
-          keeper,
+          releaser,
           admission,
           attempts,
           estimates,
@@ -160,22 +160,22 @@
           random: options.random,
           onCached: (blocks) => cacheView.observe(blocks, monotonicNowMs()),
           backlog,
-          uncachedTokens: cached.uncachedTokens,
+          uncachedTokens: cachedPrefix.uncachedTokens,
         })
       : undefined;
 
-  function takeEngineLoad(engineLoad: EngineLoad): void {
+  function applyEngineLoad(engineLoad: EngineLoad): void {
     table.setCapacity({ kvBytes: engineLoad.capacityKvBytes, slots: engineLoad.slotCount });
     estimates.reportStep(engineLoad.stepMs);
-    lastRole = engineLoad.role;
-    admission.pump();
+    lastReportedRole = engineLoad.role;
+    admission.processQueue();
   }
 
   function role(): WorkerRole | undefined {
     if (backend.kind === 'plain') {
       return 'plain';
     }
-    return hasAudited ? monitor?.current()?.role : undefined;
+    return hasReconciled ? monitor?.current()?.role : undefined;
   }
 
   function load(): LoadHint {
@@ -183,28 +183,36 @@
   }
 
   function reportedRole(): WorkerRole {
-    return backend.kind === 'plain' ? 'plain' : lastRole;
+    return backend.kind === 'plain' ? 'plain' : lastReportedRole;
   }
 
   async function bid(request: BidRequest): Promise<Bid> {
     const isServed = request.service === service && role() !== undefined && !isLeaving();
-    const kvBytes = reservations.kvBytesOf({
-      purpose: backend.kind === 'plain' ? 'plain' : purposeOf(lastRole),
+    const kvBytes = reservations.requiredKvBytes({
+      purpose: backend.kind === 'plain' ? 'plain' : toPurpose(lastReportedRole),
       ...request,
     });
     return {
       incarnation,
       load: load(),
-      cachedPrefixTokens: Math.min(cached.cachedTokens(request.prefixBlocks), request.promptTokens),
+      cachedPrefixTokens: Math.min(
+        cachedPrefix.cachedTokens(request.prefixBlocks),
+        request.promptTokens,
+      ),
       usableInMs: isServed ? admission.usableInMs(kvBytes) : undefined,
       ...(backend.kind === 'model'
-        ? describeModel({ ...backend, ...books, role: lastRole, promptKvBytes: kvBytes })
+        ? createModelBid({
+            ...backend,
+            ...bidSources,
+            role: lastReportedRole,
+            promptKvBytes: kvBytes,
+          })
         : {}),
     };
   }
 
   async function prefill(request: PrefillRequest, signal?: AbortSignal): Promise<PrefillReply> {
-    return model === undefined
+    return modelComponents === undefined
       ? {
           kind: 'refused',
           reason: agentRefusalReasons.wrongRole,
@@ -212,7 +220,7 @@
           detail: 'a plain service',
           load: load(),
         }
-      : model.prefills.run(request, signal);
+      : modelComponents.prefills.run(request, signal);
   }
 
   async function runStream(
@@ -220,8 +228,8 @@
     sink: FrameSink,
     signal: AbortSignal,
   ): Promise<void> {
-    if (model !== undefined) {
-      return model.streams.run(request, sink, signal);
+    if (modelComponents !== undefined) {
+      return modelComponents.streams.run(request, sink, signal);
     }
     return sink({
       kind: 'failed',
@@ -240,7 +248,7 @@
       role: reportedRole(),
       models: engineLoad?.models ?? [],
       adapters: engineLoad?.adapters ?? [],
-      highestFencingNumber: model?.orders.highestFencingNumber() ?? 0,
+      highestFencingNumber: modelComponents?.orders.highestFencingNumber() ?? 0,
       leaving: isLeaving(),
     };
   }
@@ -248,9 +256,9 @@
   function tick(): void {
     table.lapsed(monotonicNowMs()).forEach(({ attemptId }) => {
       observer.onLapsed(attemptId);
-      keeper.giveUp(attemptId);
+      releaser.release(attemptId);
     });
-    admission.pump();
+    admission.processQueue();
   }
 
   function applyDocument(accepted: AcceptedDocument): void {
@@ -263,10 +271,10 @@
       setSlots(config.slotsPerServer);
     }
     refuseWaitingIfLeaving();
-    admission.pump();
+    admission.processQueue();
   }
 
-  /** On a plain service one unit of memory is one slot. */
+  /** A plain service has no KV cache; its capacity is counted in slots for both fields. */
   function setSlots(slots: number): void {
     table.setCapacity({ kvBytes: slots, slots });
   }
@@ -284,8 +292,8 @@
     if (backend.kind === 'plain') {
       setSlots(config.slotsPerServer);
     }
-    ticker = setInterval(tick, tickIntervalMs);
-    void model?.orders.learn();
+    tickTimer = setInterval(tick, tickIntervalMs);
+    void modelComponents?.orders.waitForFencingNumber();
     await monitor?.start();
   }
 
@@ -298,31 +306,31 @@
       cancel: async (reference) => reservations.cancel(reference),
       heartbeat: async (heartbeat) => reservations.heartbeat(heartbeat),
       order: async (request) =>
-        model === undefined
+        modelComponents === undefined
           ? { kind: 'failed', detail: 'a plain service', effect: 'none' }
-          : model.orders.execute(request),
+          : modelComponents.orders.execute(request),
     },
     runStream,
     start,
     applyDocument,
-    drain: (boundMs) => drainLeases(table, keeper, boundMs),
+    drain: (timeoutMs) => drainLeases(table, releaser, timeoutMs),
     load,
     leave: () => {
       isStopping = true;
       refuseWaitingIfLeaving();
     },
     close: () => {
-      clearInterval(ticker);
+      clearInterval(tickTimer);
       monitor?.close();
-      keeper.close();
-      model?.orders.close();
+      releaser.close();
+      modelComponents?.orders.close();
     },
     isReady: () => !isLeaving() && role() !== undefined,
     config: () => config,
-    books: { table, keeper, attempts, estimates, reservations },
+    books: { table, releaser, attempts, estimates, reservations },
   };
 }
 
-function purposeOf(role: WorkerRole): 'prefill' | 'decode' {
+function toPurpose(role: WorkerRole): 'prefill' | 'decode' {
   return role === 'prefill' ? 'prefill' : 'decode';
 }
--- a/packages/agent/src/agentConfig.ts
+++ b/packages/agent/src/agentConfig.ts
@@ -1,16 +1,16 @@
-/** What an agent takes from its service's accepted document. Defaults hold before the first one. */
+/** The agent's configuration from its service's accepted document, with defaults before the first one. */
 import type { QueueClass } from '@bluebellhitch/decisions';
 import type { AcceptedDocument } from '@bluebellhitch/document';
 
 export interface AgentConfig {
-  /** 0 before the first accepted document. */
+  /** Generation of the active document; 0 before the first one. */
   generation: number;
   classes: ReadonlyMap<string, QueueClass>;
   /** Concurrent calls of a plain backend server. */
   slotsPerServer: number;
   requestTimeoutMs: number;
   drainBoundMs: number;
-  /** Instances that take no new work. */
+  /** Ids of instances that take no new work. */
   drainedInstances: readonly string[];
 }
 
--- a/packages/agent/src/agentObserver.ts
+++ b/packages/agent/src/agentObserver.ts
@@ -1,4 +1,4 @@
-/** What the agent reports about its work; metrics and decision records listen. */
+/** Callbacks for events of the agent's work, used for metrics and decision records. */
 import type { IgnoredFrameCause } from '@bluebellhitch/decisions';
 import type { AgentRefusalReason, ReserveRequest } from '@bluebellhitch/protocol';
 
@@ -6,7 +6,7 @@
   onReserved(request: ReserveRequest, waitedMs: number, usableInMs: number): void;
   onRefused(reason: AgentRefusalReason): void;
   onPrefilled(attemptId: string, computedTokens: number, durationMs: number): void;
-  /** The export's time was over; it may have been fetched all the same. */
+  /** The retention time of the export ended; it may have been fetched before. */
   onExportExpired(attemptId: string): void;
   onTransfer(attemptId: string, durationMs: number): void;
   onTransferFailed(attemptId: string, cause: string): void;
@@ -14,26 +14,26 @@
   onDroppedChunk(cause: IgnoredFrameCause): void;
   onLapsed(attemptId: string): void;
   onCancelFailed(attemptId: string, detail: string): void;
-  /** The lease of an attempt has ended; called once for each. */
+  /** The lease of an attempt ended; called once per attempt. */
   onEnded(attemptId: string): void;
 }
 
-const ignore = () => undefined;
+const noop = () => undefined;
 
-/** Parts of an observer; what is missing is ignored. */
-export function createAgentObserver(parts: Partial<AgentObserver> = {}): AgentObserver {
+/** Completes a partial observer; missing callbacks do nothing. */
+export function createAgentObserver(callbacks: Partial<AgentObserver> = {}): AgentObserver {
   return {
-    onReserved: ignore,
-    onRefused: ignore,
-    onPrefilled: ignore,
-    onExportExpired: ignore,
-    onTransfer: ignore,
-    onTransferFailed: ignore,
-    onTokenGap: ignore,
-    onDroppedChunk: ignore,
-    onLapsed: ignore,
-    onCancelFailed: ignore,
-    onEnded: ignore,
-    ...parts,
+    onReserved: noop,
+    onRefused: noop,
+    onPrefilled: noop,
+    onExportExpired: noop,
+    onTransfer: noop,
+    onTransferFailed: noop,
+    onTokenGap: noop,
+    onDroppedChunk: noop,
+    onLapsed: noop,
+    onCancelFailed: noop,
+    onEnded: noop,
+    ...callbacks,
   };
 }
--- a/packages/agent/src/agentProcess.ts
+++ b/packages/agent/src/agentProcess.ts
@@ -1,4 +1,4 @@
-/** Puts an agent together from its settings: clients, inner port, admin port, graceful stop. */
+/** Runs an agent from its settings: clients, inner port, admin port and graceful stop. */
 import { randomUUID } from 'node:crypto';
 import { createHttpEngineClient } from '@bluebellhitch/engine';
 import { createHttpPlatformClient } from '@bluebellhitch/objects';
@@ -23,14 +23,14 @@
   innerAddress: string;
   adminAddress: string;
   logger: Logger;
-  /** Refuses new work, lets what runs come to its end within the document's bound, and closes. */
+  /** Refuses new work, waits for running work up to the document's `drain.boundMs`, and closes. */
   stop(): Promise<void>;
-  /** Closes at once. */
+  /** Closes without waiting for running work. */
   stopNow(): Promise<void>;
 }
 
-/** Leases end with the engine's work; the last bytes may still be on their way to an entry. */
-const lastAnswersMs = 2000;
+/** Leases end with the engine's work, when the last bytes may still be in transit to an entry. */
+const responseGraceMs = 2000;
 
 export async function startAgentProcess(
   settings: AgentSettings,
@@ -112,12 +112,12 @@
       agent.leave();
       const isDrained = await agent.drain(agent.config().drainBoundMs);
       logger.info('drained', { isDrained });
-      await closeAll(lastAnswersMs);
+      await closeAll(responseGraceMs);
     },
   };
 }
 
-/** What is in force here; `generations` has the form that entries answer in, too. */
+/** The active configuration; `generations` has the same format as in the entries' response. */
 function describeConfig({ instanceId, dataCentre, service }: AgentSettings, config: AgentConfig) {
   const { generation, classes, ...others } = config;
   const generations = generation === 0 ? {} : { [service]: generation };
--- a/packages/agent/src/agentTelemetry.ts
+++ b/packages/agent/src/agentTelemetry.ts
@@ -1,4 +1,4 @@
-/** Turns the agent's reports into metrics and decision records. */
+/** Turns the agent's events into metrics and decision records. */
 import type { LeaseTable, Lease } from '@bluebellhitch/decisions';
 import {
   leaseStates,
@@ -25,22 +25,26 @@
   startedAtMs: number;
 }
 
-/** An observer whose open records end with their leases, so that their number is bounded. */
+/** Creates an observer that drops each open record when its lease ends, so that their number is bounded. */
 export function createAgentTelemetry(options: AgentTelemetryOptions): AgentObserver {
   const { metrics, ring, logger } = options;
-  const open = new Map<string, OpenRecord>();
+  const openRecords = new Map<string, OpenRecord>();
 
-  function note(attemptId: string, kind: string, detail: Record<string, unknown>): void {
-    const entry = open.get(attemptId);
-    entry?.record.steps.push({ atMs: monotonicNowMs() - entry.startedAtMs, kind, detail });
+  function addStep(attemptId: string, kind: string, detail: Record<string, unknown>): void {
+    const openRecord = openRecords.get(attemptId);
+    openRecord?.record.steps.push({
+      atMs: monotonicNowMs() - openRecord.startedAtMs,
+      kind,
+      detail,
+    });
   }
 
-  function observe(
+  function observeDuration(
     attemptId: string,
     phase: 'prefill' | 'transfer' | 'betweenTokens',
     durationMs: number,
   ): void {
-    const labels = open.get(attemptId)?.labels;
+    const labels = openRecords.get(attemptId)?.labels;
     if (labels !== undefined) {
       metrics.observePhase(phase, labels, durationMs);
     }
@@ -60,64 +64,64 @@
         outcome: '',
       };
       const labels = { service, institution, className };
-      open.set(attemptId, { record, labels, startedAtMs: monotonicNowMs() - waitedMs });
+      openRecords.set(attemptId, { record, labels, startedAtMs: monotonicNowMs() - waitedMs });
       ring.record(record);
       metrics.observePhase('queue', labels, waitedMs);
-      note(attemptId, 'reserved', { attemptId, purpose: request.purpose, waitedMs, usableInMs });
+      addStep(attemptId, 'reserved', { attemptId, purpose: request.purpose, waitedMs, usableInMs });
     },
     onRefused: (reason) => metrics.countRefusal(reason),
     onPrefilled: (attemptId, computedTokens, durationMs) => {
       metrics.countPrefillTokens(computedTokens);
-      observe(attemptId, 'prefill', durationMs);
-      note(attemptId, 'prefilled', { computedTokens, durationMs });
+      observeDuration(attemptId, 'prefill', durationMs);
+      addStep(attemptId, 'prefilled', { computedTokens, durationMs });
     },
-    onExportExpired: (attemptId) => note(attemptId, 'export-expired', {}),
+    onExportExpired: (attemptId) => addStep(attemptId, 'export-expired', {}),
     onTransfer: (attemptId, durationMs) => {
-      observe(attemptId, 'transfer', durationMs);
-      note(attemptId, 'imported', { durationMs });
+      observeDuration(attemptId, 'transfer', durationMs);
+      addStep(attemptId, 'imported', { durationMs });
     },
     onTransferFailed: (attemptId, cause) => {
       logger.warn('transfer failed', { attemptId, cause });
-      note(attemptId, 'transfer-failed', { cause });
+      addStep(attemptId, 'transfer-failed', { cause });
     },
-    onTokenGap: (attemptId, durationMs) => observe(attemptId, 'betweenTokens', durationMs),
-    onDroppedChunk: (cause) => metrics.countDroppedFrame(droppedFrameCauseOf[cause]),
+    onTokenGap: (attemptId, durationMs) => observeDuration(attemptId, 'betweenTokens', durationMs),
+    onDroppedChunk: (cause) => metrics.countDroppedFrame(droppedFrameCauses[cause]),
     onLapsed: (attemptId) => {
       logger.warn('lease lapsed', { attemptId });
-      note(attemptId, 'lapsed', {});
+      addStep(attemptId, 'lapsed', {});
     },
     onCancelFailed: (attemptId, detail) => logger.warn('cancel failed', { attemptId, detail }),
     onEnded: (attemptId) => {
-      note(attemptId, 'ended', {});
-      const entry = open.get(attemptId);
-      if (entry !== undefined) {
-        entry.record.outcome = 'ended';
+      addStep(attemptId, 'ended', {});
+      const openRecord = openRecords.get(attemptId);
+      if (openRecord !== undefined) {
+        openRecord.record.outcome = 'ended';
       }
-      open.delete(attemptId);
+      openRecords.delete(attemptId);
     },
   };
 }
 
-const droppedFrameCauseOf = {
+const droppedFrameCauses = {
   'foreign-attempt': 'other-attempt',
   duplicate: 'wrong-offset',
   'after-end': 'after-end',
 } as const;
 
-/** Sets the gauge of leases by state; call before metrics are read. */
+/** Sets the gauge of leases by state; call before metrics are rendered. */
 export function reportLeases(
   metrics: AgentMetrics,
   table: Pick<LeaseTable, 'leases'>,
   queuedCount: number,
 ): void {
-  const states = table.leases().map(stateOf);
+  const states = table.leases().map(toLeaseState);
   Object.values(leaseStates).forEach((state) => {
     const count = states.filter((other) => other === state).length;
     metrics.setLeases(state, state === leaseStates.queued ? queuedCount : count);
   });
 }
 
-function stateOf(lease: Readonly<Lease>): LeaseState {
+function toLeaseState(lease: Readonly<Lease>): LeaseState {
   switch (lease.state) {
     case 'promised':
     case 'reserved':
@@ -133,7 +137,7 @@
   }
 }
 
-/** Makes the document's labels known and shows its generation. */
+/** Adds the document's labels to the metrics and sets the gauge of its generation. */
 export function reportDocument(
   metrics: AgentMetrics,
   { generation, document }: AcceptedDocument,
--- a/packages/agent/src/attemptRecord.ts
+++ b/packages/agent/src/attemptRecord.ts
@@ -1,26 +1,26 @@
 /**
- * Remembers the recent attempts of this process, so that no attempt runs twice: an entry that lost
- * an answer may send the same attempt again, and messages may arrive in another order than sent.
+ * Records the recent attempts of this process so that no attempt runs twice: an entry that lost a response
+ * may send the same attempt again, and messages may arrive out of order.
  */
 import { createBoundedMap } from '@bluebellhitch/decisions';
 
 export type AttemptPhase = 'reserved' | 'started' | 'cancelled' | 'ended';
 
 export interface AttemptRecord {
-  phaseOf(attemptId: string): AttemptPhase | undefined;
-  reserved(attemptId: string): void;
-  /** The reservation was refused, so that the same attempt may ask again. */
+  getPhase(attemptId: string): AttemptPhase | undefined;
+  noteReserved(attemptId: string): void;
+  /** Removes an attempt whose reservation was refused, so that it may be requested again. */
   forget(attemptId: string): void;
-  /** False where the attempt has been started, cancelled or ended before: it must not run. */
-  start(attemptId: string): boolean;
-  cancelled(attemptId: string): void;
-  ended(attemptId: string): void;
+  /** Marks the attempt as started; false if it was started, cancelled or ended before and must not run. */
+  tryStart(attemptId: string): boolean;
+  noteCancelled(attemptId: string): void;
+  noteEnded(attemptId: string): void;
 }
 
 export interface AttemptRecordOptions {
   /**
-   * Attempts remembered; the oldest go first. One that is forgotten has no lease any more and cannot
-   * run either.
+   * Maximum number of attempts; the oldest are evicted. An evicted attempt has no lease any more, so that it
+   * cannot run either.
    */
   capacity?: number;
 }
@@ -35,22 +35,22 @@
     phase === undefined || phase === 'reserved';
 
   return {
-    phaseOf: phases.get,
-    reserved: (attemptId) => phases.set(attemptId, 'reserved'),
+    getPhase: phases.get,
+    noteReserved: (attemptId) => phases.set(attemptId, 'reserved'),
     forget: (attemptId) => {
       if (phases.get(attemptId) === 'reserved') {
         phases.delete(attemptId);
       }
     },
-    start: (attemptId) => {
+    tryStart: (attemptId) => {
       const mayStart = isUnstarted(phases.get(attemptId));
       if (mayStart) {
         phases.set(attemptId, 'started');
       }
       return mayStart;
     },
-    cancelled: (attemptId) =>
+    noteCancelled: (attemptId) =>
       phases.set(attemptId, isUnstarted(phases.get(attemptId)) ? 'cancelled' : 'ended'),
-    ended: (attemptId) => phases.set(attemptId, 'ended'),
+    noteEnded: (attemptId) => phases.set(attemptId, 'ended'),
   };
 }
--- a/packages/agent/src/bin.ts
+++ b/packages/agent/src/bin.ts
@@ -1,4 +1,4 @@
-/** `bluebell-agent`: the process beside one backend server. */
+/** Entry point of `bluebell-agent`, which runs beside one backend server. */
 import { innerSecurityOf, readInnerKeys } from '@bluebellhitch/security';
 import { exitForSettings, loadSettingsOrExit } from '@bluebellhitch/shared';
 import { installProcessLifecycle } from '@bluebellhitch/telemetry';
@@ -24,6 +24,6 @@
   exitOnStdinEnd: settings.exitOnStdinEnd,
   onStop: (kind) => (kind === 'graceful' ? agentProcess.stop() : agentProcess.stopNow()),
 });
-// Whoever waits for this line may send a signal as soon as it is there.
+// Logged after the signal handlers are installed: whoever waits for this line may send a signal right after it.
 const { innerAddress, adminAddress } = agentProcess;
 agentProcess.logger.info('listening', { innerAddress, adminAddress });
--- a/packages/agent/src/cachedPrefix.ts
+++ b/packages/agent/src/cachedPrefix.ts
@@ -1,4 +1,4 @@
-/** Estimates in tokens of how much of a prompt the engine's prefix cache holds. */
+/** Estimates, in tokens, how much of a prompt is in the engine's prefix cache. */
 import type { CacheView } from '@bluebellhitch/decisions';
 import {
   blockTokens,
@@ -9,9 +9,9 @@
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
 export interface CachedPrefix {
-  /** Cached tokens behind the sampled hashes of a bid request. */
+  /** Cached tokens according to the sampled block hashes of a bid request. */
   cachedTokens(sampledBlocks: readonly string[]): number;
-  /** Tokens of the prompt that the engine would compute. */
+  /** Tokens of the prompt that the engine would have to compute. */
   uncachedTokens(prompt: string): number;
 }
 
--- a/packages/agent/src/chunkForwarder.ts
+++ b/packages/agent/src/chunkForwarder.ts
@@ -1,4 +1,4 @@
-/** Forwards the engine's chunks of one attempt as frames, in order and without foreign ones. */
+/** Forwards the engine's chunks of one attempt as frames, in order and without chunks of other attempts. */
 import {
   createStreamGuard,
   type GuardedFrame,
@@ -15,7 +15,7 @@
   type StallWatch,
 } from './stallWatch';
 
-/** Takes frames; a returned promise settles once the receiver has room for more. */
+/** Sends a frame; a returned promise resolves once the receiver can take more. */
 export type FrameSink = (frame: StreamFrame) => void | Promise<void>;
 
 export interface ForwardOptions {
@@ -23,9 +23,9 @@
   chunks: AsyncIterable<EngineChunk>;
   sink: FrameSink;
   limits: StallLimits;
-  /** Called once when a side stalls; expected to end `chunks`. */
+  /** Called once when the engine or the receiver stalls; expected to end `chunks`. */
   onStall: () => void;
-  /** Called for each token with the time since the one before. */
+  /** Called for each token with the time since the previous one, undefined for the first. */
   onToken: (emittedTokens: number, gapMs: number | undefined) => void;
   onDropped: (cause: DropCause) => void;
 }
@@ -38,7 +38,7 @@
       kind: 'interrupted';
       emittedTokens: number;
       stalledSide: StalledSide | undefined;
-      breach: TruncationCause | undefined;
+      truncationCause: TruncationCause | undefined;
     };
 
 export async function forwardChunks(options: ForwardOptions): Promise<ForwardOutcome> {
@@ -47,24 +47,24 @@
   const watch = createStallWatch(options.limits, options.onStall);
   const emittedTokens = () => guard.deliveredTokens() - emitted.tokenCount;
   try {
-    const last = await pump(options, guard, watch, emittedTokens);
+    const last = await forwardUntilEnd(options, guard, watch, emittedTokens);
     if (last?.kind === 'complete') {
       return { ...last, emittedTokens: emittedTokens() };
     }
-    const breach = last?.kind === 'truncated' ? last.cause : undefined;
+    const truncationCause = last?.kind === 'truncated' ? last.cause : undefined;
     return {
       kind: 'interrupted',
       emittedTokens: emittedTokens(),
       stalledSide: watch.stalledSide(),
-      breach,
+      truncationCause,
     };
   } finally {
     watch.stop();
   }
 }
 
-/** Returns what ended the stream; undefined where it just ceased. */
-async function pump(
+/** Resolves to the frame that ended the stream; undefined if it ended without an end marker. */
+async function forwardUntilEnd(
   options: ForwardOptions,
   guard: StreamGuard,
   watch: StallWatch,
@@ -91,18 +91,18 @@
       }
     }
   } catch {
-    // A stream that breaks is handled as one that ceases.
+    // An error of the stream is handled like an end without an end marker.
   }
   return undefined;
 }
 
 async function deliver(frame: StreamFrame, sink: FrameSink, watch: StallWatch): Promise<void> {
-  const room = sink(frame);
-  if (room !== undefined) {
-    watch.waitForReceiver();
-    await room;
+  const drained = sink(frame);
+  if (drained !== undefined) {
+    watch.startReceiverWait();
+    await drained;
   }
-  watch.waitForEngine();
+  watch.startEngineWait();
 }
 
 function toFrame(chunk: EngineChunk): StreamFrame {
--- a/packages/agent/src/documentFeed.ts
+++ b/packages/agent/src/documentFeed.ts
@@ -1,4 +1,4 @@
-/** Brings the accepted documents of the agent's service to it, through relays or from the platform. */
+/** Delivers the accepted documents of the agent's service, from relays or from the platform. */
 import { acceptedDocumentSchema, type AcceptedDocument } from '@bluebellhitch/document';
 import {
   createFeedClient,
@@ -18,10 +18,10 @@
   instanceId: string;
   dataCentre: string;
   service: string;
-  /** Inner addresses of entries to ask at the start. */
+  /** Inner addresses of entries to query at the start. */
   peerAddresses?: readonly string[];
   onAccepted: (accepted: AcceptedDocument) => void;
-  /** Told about a record that this version cannot read; the last one stays in force. */
+  /** Called for a record that this version cannot parse; the last document stays active. */
   onUnreadable: (detail: string) => void;
   random?: Random;
 }
@@ -31,10 +31,10 @@
   stop(): Promise<void>;
 }
 
-/** An agent knows few instances: it looks for relays until it has some, and then only now and then. */
+/** Refresh interval of the instance directory until it has a relay in this data centre; longer afterwards. */
 const searchIntervalMs = 2000;
 const refreshIntervalMs = 30_000;
-/** A read of one document; without relays it is what brings a change within seconds. */
+/** Each poll reads one document. Without relays, polling is what delivers a change within seconds. */
 const platformPauseMs = 2000;
 
 export function createDocumentFeed(options: DocumentFeedOptions): DocumentFeed {
@@ -55,7 +55,7 @@
   });
   const stopping = new AbortController();
 
-  function apply(records: readonly FeedRecord[]): void {
+  function applyRecords(records: readonly FeedRecord[]): void {
     records
       .filter(
         ({ kind, key, removed }) => kind === feedKinds.accepted && key === service && !removed,
@@ -72,9 +72,9 @@
 
   return {
     start: () => {
-      store.subscribe(apply);
+      store.subscribe(applyRecords);
       follower.start();
-      void keepLooking(directory, dataCentre, random, stopping.signal);
+      void searchForRelays(directory, dataCentre, random, stopping.signal);
     },
     stop: async () => {
       stopping.abort();
@@ -83,7 +83,7 @@
   };
 }
 
-async function keepLooking(
+async function searchForRelays(
   directory: InstanceDirectory,
   dataCentre: string,
   random: Random,
--- a/packages/agent/src/engineMonitor.ts
+++ b/packages/agent/src/engineMonitor.ts
@@ -1,4 +1,4 @@
-/** Follows the engine's load report and its cache events, and notices when it is down. */
+/** Polls the engine's load report and cache events, and detects when the engine is down. */
 import type { CacheView } from '@bluebellhitch/decisions';
 import type { EngineApi, EngineLoad } from '@bluebellhitch/engine';
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
@@ -8,24 +8,24 @@
   engine: Pick<EngineApi, 'load' | 'cacheEvents'>;
   cacheView: CacheView;
   onLoad: (load: EngineLoad) => void;
-  /** Called when a running engine stops answering. */
+  /** Called when a running engine stops responding. */
   onDown?: () => void;
-  /** Called with each poll of a running engine. */
+  /** Called on each successful poll. */
   onPoll?: () => Promise<unknown>;
   intervalMs?: number;
   callTimeoutMs?: number;
 }
 
 export interface EngineMonitor {
-  /** Resolves after the first answer of the engine. */
+  /** Resolves after the first response of the engine, or when the monitor is closed. */
   start(): Promise<void>;
-  /** The latest report; undefined while the engine is down. */
+  /** The latest load report; undefined while the engine is down. */
   current(): EngineLoad | undefined;
   close(): void;
 }
 
 const defaults = { intervalMs: 500, callTimeoutMs: 1000 };
-/** One lost answer is no outage. */
+/** A single failed call may be a lost response and does not count as an outage. */
 const failuresUntilDown = 2;
 const firstPollIntervalMs = 50;
 
@@ -34,7 +34,7 @@
   const { intervalMs, callTimeoutMs } = { ...defaults, ...options };
   const closing = new AbortController();
   let current: EngineLoad | undefined;
-  let failures = 0;
+  let failureCount = 0;
 
   async function poll(): Promise<void> {
     const load = await withTimeout(engine.load(), callTimeoutMs);
@@ -42,7 +42,7 @@
       onFailure();
       return;
     }
-    failures = 0;
+    failureCount = 0;
     current = load.value;
     onLoad(load.value);
     const events = await withTimeout(engine.cacheEvents(cacheView.lastSequence()), callTimeoutMs);
@@ -51,23 +51,23 @@
   }
 
   function onFailure(): void {
-    failures += 1;
-    if (failures >= failuresUntilDown && current !== undefined) {
+    failureCount += 1;
+    if (failureCount >= failuresUntilDown && current !== undefined) {
       current = undefined;
       cacheView.reset();
       onDown?.();
     }
   }
 
-  async function run(onFirst: () => void): Promise<void> {
+  async function run(onFirstLoad: () => void): Promise<void> {
     while (!closing.signal.aborted) {
       await poll();
       if (current !== undefined) {
-        onFirst();
+        onFirstLoad();
       }
       await delay(current === undefined ? firstPollIntervalMs : intervalMs, closing.signal);
     }
-    onFirst();
+    onFirstLoad();
   }
 
   return {
--- a/packages/agent/src/fencingNumber.ts
+++ b/packages/agent/src/fencingNumber.ts
@@ -18,7 +18,7 @@
         : errAsync<number, PlatformError>({ kind: 'rejected', detail: 'not a lease object' });
     })
     .orElse((error) =>
-      // The duty was never held.
+      // The lease object does not exist: the duty was never held.
       error.kind === 'not-found' ? okAsync<number, PlatformError>(0) : errAsync(error),
     );
 }
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -2,7 +2,7 @@
   createAgent,
   type Agent,
   type AgentBackend,
-  type AgentBooks,
+  type LeaseComponents,
   type AgentOptions,
 } from './agent';
 export { createAgentObserver, type AgentObserver } from './agentObserver';
--- a/packages/agent/src/innerServer.ts
+++ b/packages/agent/src/innerServer.ts
@@ -1,4 +1,4 @@
-/** The agent's inner port: messages by trpc, model answers as event streams, plain calls. */
+/** The agent's inner port: messages over tRPC, model responses as event streams, and plain calls. */
 import type { Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { serve, type HttpBindings } from '@hono/node-server';
@@ -17,28 +17,28 @@
   /** Absent where the backend server is a model engine. */
   plainProxy?: PlainProxy;
   security: Pick<InnerSecurity, 'accepts'>;
-  /** Told of each call without valid credentials. */
+  /** Called for each call without valid credentials. */
   onUnauthenticated?: () => void;
   host: string;
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   port: number;
 }
 
 export interface InnerServer {
   /** `http://ip:port`. */
   address: string;
-  /** Closes the port; answers in progress have `graceMs` to reach their receivers. */
+  /** Closes the port; responses in progress have `graceMs` to complete. */
   close(graceMs?: number): Promise<void>;
 }
 
-/** Kept-alive connections become idle one by one as their answers end. */
-const idleCheckMs = 20;
+/** Keep-alive connections become idle one by one as their responses end. */
+const idleCheckIntervalMs = 20;
 
 interface Environment {
   Bindings: HttpBindings;
 }
 
-/** Starts the inner port; rejects where the port is taken. */
+/** Starts the inner port; rejects if the port is in use. */
 export async function startInnerServer(options: InnerServerOptions): Promise<InnerServer> {
   const server = await listen(createApp(options), options);
   const { address, port } = server.address() as AddressInfo;
@@ -58,7 +58,7 @@
     fetchRequestHandler({ endpoint: innerPaths.trpc, req: context.req.raw, router }),
   );
   app.post(innerPaths.streams, ({ env }) => {
-    // The answer goes out on the bare response: its `write` tells when the receiver has no room.
+    // Written to the Node.js response directly, whose `write` reports when the receiver's buffer is full.
     void handleStream(agent, env.incoming, env.outgoing).catch(() => destroy(env.outgoing));
     return RESPONSE_ALREADY_SENT;
   });
@@ -90,7 +90,7 @@
   const closed = new Promise<void>((resolve) => {
     server.close(() => resolve());
   });
-  const idleCloser = setInterval(() => server.closeIdleConnections(), idleCheckMs);
+  const idleCloser = setInterval(() => server.closeIdleConnections(), idleCheckIntervalMs);
   await Promise.race([closed, delay(graceMs)]);
   clearInterval(idleCloser);
   server.closeAllConnections();
--- a/packages/agent/src/kvImporter.ts
+++ b/packages/agent/src/kvImporter.ts
@@ -1,6 +1,6 @@
 /**
- * Pulls a prompt's KV cache into the engine. A stalled transfer is cut by its progress per interval,
- * since a total timeout long enough for a large prompt outlives the kept export of a small one.
+ * Imports a prompt's KV cache into the engine. A transfer is aborted when it makes no progress for an
+ * interval; a total timeout long enough for a large prompt would outlast the kept export of a small one.
  */
 import { createStallDetector } from '@bluebellhitch/decisions';
 import type { EngineApi, EngineError } from '@bluebellhitch/engine';
@@ -19,13 +19,13 @@
 export interface KvImporterOptions {
   engine: Pick<EngineApi, 'importKv' | 'cancel'>;
   pacer: LinkPacer;
-  /** A transfer without progress for this long is cut. */
+  /** A transfer without progress for this long is aborted. */
   stallMs?: number;
   maxTries?: number;
 }
 
 export interface KvImporter {
-  /** Tries the transfer, and once more while the export is still kept. */
+  /** Runs the transfer; retries a failed one, up to `maxTries` in all, while the export is kept. */
   run(attemptId: string, source: TransferSource, signal: AbortSignal): Promise<ImportOutcome>;
 }
 
@@ -67,7 +67,7 @@
       return { kind: 'aborted' };
     }
     const startedAtMs = monotonicNowMs();
-    const watch = createStallWatch(stallMs, signal);
+    const watch = startTransferWatch(stallMs, signal);
     const result = await engine.importKv(
       {
         attemptId,
@@ -98,7 +98,7 @@
   return { run };
 }
 
-function createStallWatch(stallMs: number, outer: AbortSignal) {
+function startTransferWatch(stallMs: number, parentSignal: AbortSignal) {
   const controller = new AbortController();
   const detector = createStallDetector({
     startedAtMs: monotonicNowMs(),
@@ -108,7 +108,7 @@
   let stalled = false;
 
   const abort = () => controller.abort();
-  outer.addEventListener('abort', abort);
+  parentSignal.addEventListener('abort', abort);
   const timer = setInterval(() => {
     if (detector.check(monotonicNowMs()).kind === 'stalled') {
       stalled = true;
@@ -122,7 +122,7 @@
     onProgress: (bytes: number) => detector.progress(bytes, monotonicNowMs()),
     stop: () => {
       clearInterval(timer);
-      outer.removeEventListener('abort', abort);
+      parentSignal.removeEventListener('abort', abort);
     },
   };
 }
--- a/packages/agent/src/linkPacer.ts
+++ b/packages/agent/src/linkPacer.ts
@@ -1,6 +1,6 @@
 /**
- * Divides this server's link among the KV transfers that it pulls. Each source's rate is estimated
- * from finished transfers, so that a slow source does not hold back the rest of the link.
+ * Divides the bandwidth of this server's link among its incoming KV transfers. Each source's rate is
+ * estimated from finished transfers, so that a slow source does not reserve bandwidth that it cannot use.
  */
 import { createLinkRates } from '@bluebellhitch/decisions';
 
@@ -11,24 +11,24 @@
 
 export interface LinkGrant {
   rateBytesPerSecond: number;
-  /** Gives the share back; call once. */
+  /** Returns the share; call once. */
   release(): void;
 }
 
 export interface LinkPacer {
-  /** Resolves with a share of the link; undefined where `signal` aborts first. */
+  /** Resolves to a share of the link; undefined if `signal` aborts first. */
   acquire(source: string, signal?: AbortSignal): Promise<LinkGrant | undefined>;
   observe(source: string, bytes: number, durationMs: number): void;
   observeStall(source: string): void;
 }
 
-/** A transfer starts only with at least this share of the link. */
+/** Smallest share of the link with which a transfer starts. */
 const minShare = 0.25;
-/** A source gets somewhat more than its estimate, or the estimate could never rise. */
+/** A source gets more than its estimated rate; otherwise the estimate could never rise. */
 const probeFactor = 1.25;
 const defaultMaxSources = 1024;
-/** Links are counted by their source: the target is always this server. */
-const ownId = 'here';
+/** Links are told apart by their source; the target is always this server. */
+const localTargetId = 'here';
 
 export function createLinkPacer(options: LinkPacerOptions): LinkPacer {
   const { rateBytesPerSecond, maxSources = defaultMaxSources } = options;
@@ -40,13 +40,16 @@
   let grantedRate = 0;
 
   function tryGrant(source: string): LinkGrant | undefined {
-    const rest = rateBytesPerSecond - grantedRate;
-    const least = rateBytesPerSecond * minShare;
-    if (rest < least) {
+    const remainingRate = rateBytesPerSecond - grantedRate;
+    const minRate = rateBytesPerSecond * minShare;
+    if (remainingRate < minRate) {
       return undefined;
     }
-    const wanted = Math.max(rates.rateBytesPerSecond(source, ownId) * probeFactor, least);
-    const rate = Math.min(wanted, rest);
+    const desiredRate = Math.max(
+      rates.rateBytesPerSecond(source, localTargetId) * probeFactor,
+      minRate,
+    );
+    const rate = Math.min(desiredRate, remainingRate);
     grantedRate += rate;
     return { rateBytesPerSecond: rate, release: () => release(rate) };
   }
@@ -60,7 +63,7 @@
     waiting.shift()?.();
   }
 
-  function waitTurn(signal?: AbortSignal): Promise<void> {
+  function waitForRelease(signal?: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       const proceed = () => {
         const index = waiting.indexOf(proceed);
@@ -78,10 +81,10 @@
   async function acquire(source: string, signal?: AbortSignal): Promise<LinkGrant | undefined> {
     let grant = signal?.aborted ? undefined : tryGrant(source);
     while (grant === undefined && !signal?.aborted) {
-      await waitTurn(signal);
+      await waitForRelease(signal);
       grant = signal?.aborted ? undefined : tryGrant(source);
     }
-    // Enough may be left for another one; and a turn given to one that has gone is passed on.
+    // Enough bandwidth may be left for another transfer, and an aborted waiter has to pass its wake-up on.
     wakeNext();
     return grant;
   }
@@ -89,7 +92,7 @@
   return {
     acquire,
     observe: (sourceId, bytes, durationMs) =>
-      rates.observe({ sourceId, targetId: ownId, bytes, durationMs }),
-    observeStall: (sourceId) => rates.observeStall(sourceId, ownId),
+      rates.observe({ sourceId, targetId: localTargetId, bytes, durationMs }),
+    observeStall: (sourceId) => rates.observeStall(sourceId, localTargetId),
   };
 }
--- a/packages/agent/src/loadReport.ts
+++ b/packages/agent/src/loadReport.ts
@@ -1,4 +1,4 @@
-/** The load hint that travels on every reply. */
+/** Creates the load hint that is sent with every reply. */
 import type { LeaseTable } from '@bluebellhitch/decisions';
 import type { LoadHint, WorkerRole } from '@bluebellhitch/protocol';
 import type { Admission } from './admission';
--- a/packages/agent/src/modelBid.ts
+++ b/packages/agent/src/modelBid.ts
@@ -1,4 +1,4 @@
-/** The part of a bid that only the agent of a model engine can tell. */
+/** The fields of a bid that only the agent of a model engine fills in. */
 import type { LeaseTable, PrefillBacklog } from '@bluebellhitch/decisions';
 import type { Bid, WorkerRole } from '@bluebellhitch/protocol';
 import { monotonicNowMs } from '@bluebellhitch/shared';
@@ -11,7 +11,7 @@
   backlog: PrefillBacklog;
   estimates: Pick<WorkEstimates, 'slowStepMs'>;
   role: WorkerRole;
-  /** KV cache of the prompt in question. */
+  /** Size of the KV cache of the prompt that the bid is for. */
   promptKvBytes: number;
 }
 
@@ -22,19 +22,19 @@
 
 const msPerSecond = 1000;
 
-export function describeModel(options: ModelBidOptions): ModelBid {
+export function createModelBid(options: ModelBidOptions): ModelBid {
   const { kvAddress, backlog, estimates, role } = options;
   return {
     kvAddress,
     prefillWaitMs: backlog.waitMs(monotonicNowMs()),
     prefillMsPerToken: backlog.msPerToken(),
     slowStepMs: estimates.slowStepMs(),
-    exportMs: role === 'prefill' ? exportMs(options) : undefined,
+    exportMs: role === 'prefill' ? estimateExportMs(options) : undefined,
   };
 }
 
-/** All that is held at a prefill worker has to cross its link before a new prompt's cache. */
-function exportMs({ table, promptKvBytes, kvRateBytesPerSecond }: ModelBidOptions): number {
+/** The new prompt's KV cache crosses the prefill worker's link after all that the worker holds or has promised. */
+function estimateExportMs({ table, promptKvBytes, kvRateBytesPerSecond }: ModelBidOptions): number {
   const { heldKvBytes, promisedKvBytes } = table.totals();
   const bytes = promptKvBytes + heldKvBytes + promisedKvBytes;
   return (bytes / kvRateBytesPerSecond) * msPerSecond;
--- a/packages/agent/src/modelParts.ts
+++ b/packages/agent/src/modelComponents.ts
@@ -1,4 +1,4 @@
-/** The parts of an agent that only a model engine needs. */
+/** The components of an agent that only a model engine needs. */
 import type { LeaseTable, PrefillBacklog } from '@bluebellhitch/decisions';
 import type { EngineApi } from '@bluebellhitch/engine';
 import type { LoadHint } from '@bluebellhitch/protocol';
@@ -7,7 +7,7 @@
 import type { AgentObserver } from './agentObserver';
 import type { AttemptRecord } from './attemptRecord';
 import { createKvImporter } from './kvImporter';
-import type { LeaseKeeper } from './leaseKeeper';
+import type { LeaseReleaser } from './leaseReleaser';
 import { createLinkPacer } from './linkPacer';
 import { createOrderExecutor, type OrderExecutor, type ReadFencingNumber } from './orderExecutor';
 import { createPrefillRunner, type PrefillRunner } from './prefillRunner';
@@ -15,13 +15,13 @@
 import { createStreamRunner, type StreamRunner } from './streamRunner';
 import type { WorkEstimates } from './workEstimates';
 
-export interface ModelPartsOptions {
+export interface ModelComponentsOptions {
   engine: EngineApi;
   kvAddress: string;
   kvRateBytesPerSecond: number;
   service: string;
   table: LeaseTable;
-  keeper: LeaseKeeper;
+  releaser: LeaseReleaser;
   admission: Admission;
   attempts: AttemptRecord;
   estimates: WorkEstimates;
@@ -35,20 +35,20 @@
   uncachedTokens: (prompt: string) => number;
 }
 
-export interface ModelParts {
+export interface ModelComponents {
   streams: StreamRunner;
   prefills: PrefillRunner;
   orders: OrderExecutor;
 }
 
-export function createModelParts(options: ModelPartsOptions): ModelParts {
+export function createModelComponents(options: ModelComponentsOptions): ModelComponents {
   const { engine, kvRateBytesPerSecond, reservations } = options;
   const pacer = createLinkPacer({ rateBytesPerSecond: kvRateBytesPerSecond });
   return {
     streams: createStreamRunner({
       ...options,
       importer: createKvImporter({ engine, pacer }),
-      detailsOf: reservations.detailsOf,
+      getDetails: reservations.getDetails,
     }),
     prefills: createPrefillRunner(options),
     orders: createOrderExecutor(options),
--- a/packages/agent/src/orderExecutor.ts
+++ b/packages/agent/src/orderExecutor.ts
@@ -1,7 +1,7 @@
 /**
- * Passes orders to the engine, one at a time. The current fencing number is read from the platform
- * before anyone is obeyed and again right before each order is sent: this process may have been paused
- * while the order lay in its socket, and the engine may not check the number itself.
+ * Passes orders to the engine, one at a time. The current fencing number is read from the platform before
+ * the first order is accepted and again right before each order is sent, because this process may have been
+ * paused while the order waited in its socket, and the engine may not check the number itself.
  */
 import { createOrderGuard, orderDeadline, type OrderVerdict } from '@bluebellhitch/decisions';
 import type { EngineApi, EngineError } from '@bluebellhitch/engine';
@@ -10,7 +10,7 @@
 import type { ResultAsync } from 'neverthrow';
 import { withTimeout } from './withTimeout';
 
-/** Reads the number of the current holder; 0 where there never was one. */
+/** Reads the fencing number of the current lease holder; 0 if the lease was never held. */
 export type ReadFencingNumber = () => ResultAsync<number, { kind: string }>;
 
 export interface OrderExecutorOptions {
@@ -20,19 +20,19 @@
   random?: Random;
   maxWaiting?: number;
   readTimeoutMs?: number;
-  learnRetryMs?: number;
+  readRetryMs?: number;
 }
 
 export interface OrderExecutor {
   execute(request: OrderRequest): Promise<OrderReply>;
   highestFencingNumber(): number;
   isReady(): boolean;
-  /** Resolves once the number is known or the executor is closed. */
-  learn(): Promise<void>;
+  /** Resolves once the fencing number is known or the executor is closed. */
+  waitForFencingNumber(): Promise<void>;
   close(): void;
 }
 
-const defaults = { maxWaiting: 8, readTimeoutMs: 1000, learnRetryMs: 500 };
+const defaults = { maxWaiting: 8, readTimeoutMs: 1000, readRetryMs: 500 };
 
 export function createOrderExecutor(options: OrderExecutorOptions): OrderExecutor {
   const { engine, service, readFencingNumber, random = Math.random } = options;
@@ -42,15 +42,15 @@
   let waitingCount = 0;
   let lastOrder: Promise<unknown> = Promise.resolve();
 
-  async function refreshNumber(): Promise<boolean> {
+  async function refreshFencingNumber(): Promise<boolean> {
     const current = await withTimeout(readFencingNumber(), limits.readTimeoutMs);
     current.map((fencingNumber) => guard.learn(fencingNumber));
     return current.isOk();
   }
 
-  async function learn(): Promise<void> {
-    while (!closing.signal.aborted && !(await refreshNumber())) {
-      await delay(limits.learnRetryMs * (0.5 + random()), closing.signal);
+  async function waitForFencingNumber(): Promise<void> {
+    while (!closing.signal.aborted && !(await refreshFencingNumber())) {
+      await delay(limits.readRetryMs * (0.5 + random()), closing.signal);
     }
   }
 
@@ -63,27 +63,27 @@
       fencingNumber: request.fencingNumber,
       validUntilMs: orderDeadline(receivedAtMs, request.validForMs),
     };
-    const refusal = refusalOf(guard.admit(order, receivedAtMs));
+    const refusal = toRefusal(guard.admit(order, receivedAtMs));
     if (refusal !== undefined) {
       return refusal;
     }
     if (waitingCount >= limits.maxWaiting) {
       return { kind: 'not-ready', detail: 'too many orders wait' };
     }
-    return inTurn(async () => {
-      if (!(await refreshNumber())) {
+    return enqueue(async () => {
+      if (!(await refreshFencingNumber())) {
         return { kind: 'not-ready', detail: 'the platform does not confirm the number' };
       }
-      return refusalOf(guard.recheck(order, monotonicNowMs())) ?? send(request);
+      return toRefusal(guard.recheck(order, monotonicNowMs())) ?? send(request);
     });
   }
 
-  async function inTurn(task: () => Promise<OrderReply>): Promise<OrderReply> {
+  async function enqueue(task: () => Promise<OrderReply>): Promise<OrderReply> {
     waitingCount += 1;
-    const turn = lastOrder.then(task);
-    lastOrder = turn.catch(() => undefined);
+    const result = lastOrder.then(task);
+    lastOrder = result.catch(() => undefined);
     try {
-      return await turn;
+      return await result;
     } finally {
       waitingCount -= 1;
     }
@@ -108,14 +108,14 @@
 
   return {
     execute,
-    learn,
+    waitForFencingNumber,
     highestFencingNumber: guard.highestFencingNumber,
     isReady: guard.isReady,
     close: () => closing.abort(),
   };
 }
 
-function refusalOf(verdict: OrderVerdict): OrderReply | undefined {
+function toRefusal(verdict: OrderVerdict): OrderReply | undefined {
   switch (verdict.kind) {
     case 'admitted':
       return undefined;
--- a/packages/agent/src/plainHeaders.ts
+++ b/packages/agent/src/plainHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers of plain calls on their way between entry, agent and backend server. */
+/** Headers of plain calls between entry, agent and backend server. */
 import type { IncomingHttpHeaders } from 'node:http';
 import { hopByHopHeaders, identifierSchema, innerHeaders } from '@bluebellhitch/protocol';
 import * as z from 'zod';
@@ -15,27 +15,27 @@
 });
 export type PlainCall = z.infer<typeof plainCallSchema>;
 
-/** Undefined where an inner header is missing or malformed. */
+/** Parses the inner headers; undefined if one is missing or malformed. */
 export function readPlainCall(headers: IncomingHttpHeaders): PlainCall | undefined {
   const values = Object.entries(innerHeaders).map(([name, header]) => [name, headers[header]]);
   return plainCallSchema.safeParse(Object.fromEntries(values)).data;
 }
 
 const innerHeaderNames = new Set<string>(Object.values(innerHeaders));
-/** Answered by the HTTP server of this process; the client library does not send it on. */
+/** Handled by the HTTP server of this process; the client library does not forward it. */
 const expectHeader = 'expect';
 
-/** Request headers that the backend server gets. */
+/** Request headers that are forwarded to the backend server. */
 export function forwardedRequestHeaders(headers: IncomingHttpHeaders): IncomingHttpHeaders {
-  return without(headers, (name) => innerHeaderNames.has(name) || name === expectHeader);
+  return omitHeaders(headers, (name) => innerHeaderNames.has(name) || name === expectHeader);
 }
 
-/** Response headers that the entry gets; a backend server cannot speak for the agent. */
+/** Response headers that are forwarded to the entry; inner headers are dropped, since only the agent may set them. */
 export function forwardedResponseHeaders(headers: IncomingHttpHeaders): IncomingHttpHeaders {
-  return without(headers, (name) => innerHeaderNames.has(name));
+  return omitHeaders(headers, (name) => innerHeaderNames.has(name));
 }
 
-function without(
+function omitHeaders(
   headers: IncomingHttpHeaders,
   isDropped: (name: string) => boolean,
 ): IncomingHttpHeaders {
--- a/packages/agent/src/plainProxy.ts
+++ b/packages/agent/src/plainProxy.ts
@@ -1,6 +1,6 @@
 /**
- * Passes plain calls to the backend server, streaming both ways with backpressure. A call holds one of
- * the server's slots: reserved beforehand under its attempt id, or taken as it arrives.
+ * Reverse proxy for plain calls to the backend server, streaming both ways with backpressure. A call holds
+ * one of the server's slots, reserved in advance under its attempt id or on arrival.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { pipeline } from 'node:stream/promises';
@@ -35,10 +35,10 @@
 }
 
 const defaultConnectTimeoutMs = 1000;
-/** Shorter than usual servers keep idle connections, so that no call meets one that is closing. */
+/** Shorter than the idle timeout of common servers, so that no call is sent on a connection that is closing. */
 const keepAliveMs = 2000;
 
-/** Failures before a connection stood: the call certainly did not run. */
+/** Error codes of failures before the connection was established: the call certainly did not run. */
 const connectFailures: readonly string[] = [
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -55,7 +55,7 @@
 
 export function createPlainProxy(options: PlainProxyOptions): PlainProxy {
   const { agent, backendUrl, connectTimeoutMs = defaultConnectTimeoutMs } = options;
-  const { table, keeper, attempts, estimates, reservations } = agent.books;
+  const { table, releaser, attempts, estimates, reservations } = agent.books;
   const pool = new Pool(backendUrl, {
     connect: { timeout: connectTimeoutMs },
     keepAliveTimeout: keepAliveMs,
@@ -71,14 +71,14 @@
       outgoing.end(JSON.stringify({ title: 'inner headers are missing' }));
       return;
     }
-    const gone = new AbortController();
-    outgoing.once('close', () => gone.abort());
-    const refusal = await admit(call, gone.signal);
+    const callAbort = new AbortController();
+    outgoing.once('close', () => callAbort.abort());
+    const refusal = await admit(call, callAbort.signal);
     if (refusal !== undefined) {
       refuse(outgoing, refusal, agent.load());
       return;
     }
-    await runHeld(call, incoming, outgoing, gone);
+    await runAdmitted(call, incoming, outgoing, callAbort);
   }
 
   async function admit(call: PlainCall, signal: AbortSignal): Promise<Refusal | undefined> {
@@ -86,7 +86,10 @@
     if (reply.kind === 'refused') {
       return toRefusal(reply);
     }
-    if (!attempts.start(call.attemptId) || !table.advance(call.attemptId, 'streaming', endMs())) {
+    if (
+      !attempts.tryStart(call.attemptId) ||
+      !table.advance(call.attemptId, 'streaming', predictReleaseAtMs())
+    ) {
       return {
         reason: agentRefusalReasons.unknownLease,
         isProvenNotRun: false,
@@ -116,38 +119,38 @@
     };
   }
 
-  function endMs(): number {
+  function predictReleaseAtMs(): number {
     return monotonicNowMs() + estimates.callMs();
   }
 
-  async function runHeld(
+  async function runAdmitted(
     call: PlainCall,
     incoming: IncomingMessage,
     outgoing: ServerResponse,
-    gone: AbortController,
+    callAbort: AbortController,
   ): Promise<void> {
     const { attemptId } = call;
     const startedAtMs = monotonicNowMs();
-    keeper.attach(attemptId, () => gone.abort());
+    releaser.registerTask(attemptId, () => callAbort.abort());
     const timer = setTimeout(
-      () => gone.abort(),
+      () => callAbort.abort(),
       call.deadlineInMs ?? agent.config().requestTimeoutMs,
     );
     try {
-      const answer = await send(incoming, gone.signal);
+      const response = await send(incoming, callAbort.signal);
       clearTimeout(timer);
-      outgoing.writeHead(answer.statusCode, {
-        ...forwardedResponseHeaders(answer.headers),
+      outgoing.writeHead(response.statusCode, {
+        ...forwardedResponseHeaders(response.headers),
         [innerHeaders.load]: JSON.stringify(agent.load()),
       });
-      await pipeline(answer.body, outgoing);
+      await pipeline(response.body, outgoing);
       estimates.observeCall(monotonicNowMs() - startedAtMs);
     } catch (error) {
-      failCall(outgoing, error);
+      sendFailure(outgoing, error);
     } finally {
       clearTimeout(timer);
-      attempts.ended(attemptId);
-      keeper.finish(attemptId);
+      attempts.noteEnded(attemptId);
+      releaser.finish(attemptId);
     }
   }
 
@@ -161,9 +164,9 @@
     });
   }
 
-  function failCall(outgoing: ServerResponse, error: unknown): void {
+  function sendFailure(outgoing: ServerResponse, error: unknown): void {
     if (outgoing.headersSent) {
-      // The pipeline has cut the connection: the only way to tell the entry that the rest is missing.
+      // The pipeline has destroyed the connection, which shows the entry that the response is incomplete.
       return;
     }
     const code = String((error as { code?: unknown }).code ?? '');
--- a/packages/agent/src/prefillRunner.ts
+++ b/packages/agent/src/prefillRunner.ts
@@ -1,4 +1,4 @@
-/** Runs prompts on a prefill worker, and keeps their exports until they are fetched or expire. */
+/** Runs prefills and holds the leases of their exports until these are fetched or expire. */
 import type { LeaseTable, PrefillBacklog } from '@bluebellhitch/decisions';
 import type { EngineApi, EngineError, PrefillResult } from '@bluebellhitch/engine';
 import {
@@ -14,13 +14,13 @@
 import type { Admission } from './admission';
 import type { AgentObserver } from './agentObserver';
 import type { AttemptRecord } from './attemptRecord';
-import type { LeaseKeeper } from './leaseKeeper';
+import type { LeaseReleaser } from './leaseReleaser';
 import type { WorkEstimates } from './workEstimates';
 
 export interface PrefillRunnerOptions {
   engine: Pick<EngineApi, 'prefill' | 'exportKv'>;
   table: LeaseTable;
-  keeper: LeaseKeeper;
+  releaser: LeaseReleaser;
   admission: Admission;
   attempts: AttemptRecord;
   estimates: WorkEstimates;
@@ -30,22 +30,22 @@
   kvAddress: string;
   onCached: (blocks: readonly string[]) => void;
   backlog: PrefillBacklog;
-  /** Prompt tokens that the engine probably has to compute. */
+  /** Estimated prompt tokens that the engine has to compute. */
   uncachedTokens: (prompt: string) => number;
-  memoryWaitMs?: number;
+  memoryTimeoutMs?: number;
 }
 
 export interface PrefillRunner {
   run(request: PrefillRequest, signal?: AbortSignal): Promise<PrefillReply>;
 }
 
-const defaultMemoryWaitMs = 1000;
-/** Bound of a transfer that began just before its export expired. */
-const lateTransferMs = 2000;
+const defaultMemoryTimeoutMs = 1000;
+/** Time allowed for a transfer that began just before its export expired. */
+const transferGraceMs = 2000;
 
 export function createPrefillRunner(options: PrefillRunnerOptions): PrefillRunner {
-  const { engine, table, keeper, admission, attempts, estimates, observer, backlog } = options;
-  const { memoryWaitMs = defaultMemoryWaitMs } = options;
+  const { engine, table, releaser, admission, attempts, estimates, observer, backlog } = options;
+  const { memoryTimeoutMs = defaultMemoryTimeoutMs } = options;
 
   function refuse(reason: AgentRefusalReason, notRun: NotRun, detail: string): PrefillReply {
     observer.onRefused(reason);
@@ -54,28 +54,28 @@
 
   async function run(request: PrefillRequest, signal?: AbortSignal): Promise<PrefillReply> {
     const { attemptId } = request;
-    if (attempts.phaseOf(attemptId) === 'cancelled') {
+    if (attempts.getPhase(attemptId) === 'cancelled') {
       return refuse(agentRefusalReasons.cancelled, true, 'cancelled before');
     }
     if (table.get(attemptId)?.purpose !== 'prefill') {
       return refuse(agentRefusalReasons.unknownLease, 'unknown', 'no prefill lease');
     }
-    if (!(await admission.untilHeld(attemptId, memoryWaitMs, signal))) {
-      keeper.giveUp(attemptId);
+    if (!(await admission.waitUntilHeld(attemptId, memoryTimeoutMs, signal))) {
+      releaser.release(attemptId);
       return refuse(agentRefusalReasons.noCapacity, true, 'the promised memory is not free');
     }
-    if (!attempts.start(attemptId)) {
+    if (!attempts.tryStart(attemptId)) {
       return refuse(agentRefusalReasons.unknownLease, false, 'started or cancelled before');
     }
     const task = new AbortController();
-    const leave = () => keeper.giveUp(attemptId);
-    keeper.attach(attemptId, () => task.abort());
-    signal?.addEventListener('abort', leave);
+    const onAbort = () => releaser.release(attemptId);
+    releaser.registerTask(attemptId, () => task.abort());
+    signal?.addEventListener('abort', onAbort);
     if (signal?.aborted) {
-      leave();
+      onAbort();
     }
     const reply = await prefill(request, task.signal);
-    signal?.removeEventListener('abort', leave);
+    signal?.removeEventListener('abort', onAbort);
     return reply;
   }
 
@@ -90,14 +90,14 @@
     const result = await engine.prefill(request, signal);
     if (result.isErr()) {
       backlog.drop(attemptId);
-      return failed(attemptId, result.error);
+      return handleFailure(attemptId, result.error);
     }
-    return keepExport(request, result.value, monotonicNowMs() - startedAtMs);
+    return completePrefill(request, result.value, monotonicNowMs() - startedAtMs);
   }
 
-  function failed(attemptId: string, error: EngineError): PrefillReply {
+  function handleFailure(attemptId: string, error: EngineError): PrefillReply {
     const wasCancelled = table.get(attemptId)?.state === 'releasing';
-    keeper.giveUp(attemptId);
+    releaser.release(attemptId);
     if (wasCancelled) {
       return refuse(agentRefusalReasons.cancelled, 'unknown', 'cancelled');
     }
@@ -110,14 +110,14 @@
         );
   }
 
-  function keepExport(
+  function completePrefill(
     request: PrefillRequest,
     result: PrefillResult,
     prefillMs: number,
   ): PrefillReply {
     const { attemptId } = request;
     const { exportId, promptTokens, cachedTokens, kvBytes, keptForMs } = result;
-    keeper.attachExport(attemptId, exportId);
+    releaser.registerExport(attemptId, exportId);
     backlog.finish(attemptId, monotonicNowMs());
     estimates.observePrefill(promptTokens - cachedTokens, prefillMs);
     observer.onPrefilled(attemptId, promptTokens - cachedTokens, prefillMs);
@@ -125,7 +125,7 @@
     if (!table.advance(attemptId, 'exported', monotonicNowMs() + keptForMs)) {
       return refuse(agentRefusalReasons.cancelled, false, 'cancelled during the prefill');
     }
-    setTimeout(() => expire(attemptId), keptForMs);
+    setTimeout(() => expireExport(attemptId), keptForMs);
     return {
       kind: 'prefilled',
       exportId,
@@ -139,11 +139,11 @@
     };
   }
 
-  /** A transfer that still reads the export keeps it for longer, and is left to end. */
-  function expire(attemptId: string): void {
+  /** The engine keeps an export while a transfer reads it, so the transfer is given time to end. */
+  function expireExport(attemptId: string): void {
     if (table.get(attemptId)?.state === 'exported') {
       observer.onExportExpired(attemptId);
-      void keeper.finishOnceGone(attemptId, lateTransferMs);
+      void releaser.finishOnceGone(attemptId, transferGraceMs);
     }
   }
 
--- a/packages/agent/src/reservations.ts
+++ b/packages/agent/src/reservations.ts
@@ -1,4 +1,4 @@
-/** Answers reserve, cancel and heartbeat messages: who may hold what of the backend server. */
+/** Handles reserve, cancel and heartbeat messages for the backend server's memory and slots. */
 import type { LeasePurpose, LeaseTable } from '@bluebellhitch/decisions';
 import {
   agentRefusalReasons,
@@ -16,7 +16,7 @@
 import type { Admission, AdmissionRequest } from './admission';
 import type { AgentObserver } from './agentObserver';
 import type { AttemptRecord } from './attemptRecord';
-import type { LeaseKeeper } from './leaseKeeper';
+import type { LeaseReleaser } from './leaseReleaser';
 import type { WorkEstimates, WorkShape } from './workEstimates';
 
 export interface ReservationsOptions {
@@ -24,23 +24,23 @@
   incarnation: string;
   table: LeaseTable;
   admission: Admission;
-  keeper: LeaseKeeper;
+  releaser: LeaseReleaser;
   attempts: AttemptRecord;
   estimates: WorkEstimates;
   observer: AgentObserver;
   load: () => LoadHint;
-  /** The backend server's role; undefined while it is down. */
+  /** Role of the backend server; undefined while it is down. */
   role: () => WorkerRole | undefined;
   isLeaving: () => boolean;
   kvBytesPerToken: () => number;
 }
 
-export type MemoryShape = Pick<ReserveRequest, 'purpose' | 'promptTokens' | 'maxOutputTokens'>;
+export type MemoryDemand = Pick<ReserveRequest, 'purpose' | 'promptTokens' | 'maxOutputTokens'>;
 
-/** What is remembered about a reservation while its lease lives. */
+/** Data kept for a reservation until its lease ends. */
 export interface ReservationDetails {
   shape: WorkShape;
-  /** Time of the first-token target; infinite where it is missed already. */
+  /** Monotonic time of the first-token target; infinite if it had passed when the request arrived. */
   deadlineAtMs: number;
 }
 
@@ -48,22 +48,22 @@
   reserve(request: ReserveRequest, signal?: AbortSignal): Promise<ReserveReply>;
   cancel(reference: AttemptReference): void;
   heartbeat(heartbeat: Heartbeat): HeartbeatReply;
-  detailsOf(attemptId: string): ReservationDetails | undefined;
-  /** Memory that a request of this shape takes. */
-  kvBytesOf(shape: MemoryShape): number;
+  getDetails(attemptId: string): ReservationDetails | undefined;
+  /** KV cache in bytes that a request needs; 1 for a plain call. */
+  requiredKvBytes(demand: MemoryDemand): number;
   /** Call once the lease of an attempt has ended. */
   forget(attemptId: string): void;
 }
 
-/** Roles that serve each purpose. */
-const rolesFor: Record<LeasePurpose, readonly WorkerRole[]> = {
+/** Worker roles that can serve each purpose. */
+const rolesByPurpose: Record<LeasePurpose, readonly WorkerRole[]> = {
   prefill: ['prefill', 'both'],
   decode: ['decode', 'both'],
   plain: ['plain'],
 };
 
 export function createReservations(options: ReservationsOptions): Reservations {
-  const { table, admission, keeper, attempts, estimates, observer, load } = options;
+  const { table, admission, releaser, attempts, estimates, observer, load } = options;
   const details = new Map<string, ReservationDetails>();
 
   function refuse(
@@ -76,7 +76,7 @@
     return { kind: 'refused', reason, notRun, detail, retryAfterMs, load: load() };
   }
 
-  function refusalOf(request: ReserveRequest): AgentRefusal | undefined {
+  function checkRequest(request: ReserveRequest): AgentRefusal | undefined {
     if (options.isLeaving()) {
       return refuse(agentRefusalReasons.leaving, 'this backend server takes no new work');
     }
@@ -87,14 +87,14 @@
     if (role === undefined) {
       return refuse(agentRefusalReasons.notReady, 'the backend server does not answer');
     }
-    return rolesFor[request.purpose].includes(role)
+    return rolesByPurpose[request.purpose].includes(role)
       ? undefined
       : refuse(agentRefusalReasons.wrongRole, `its role is ${role}`);
   }
 
-  /** A message that was sent again, or that arrives after the attempt's cancellation. */
-  function replyToKnown(request: ReserveRequest): ReserveReply | undefined {
-    const phase = attempts.phaseOf(request.attemptId);
+  /** Handles a message that was sent again, or that arrives after its attempt was cancelled. */
+  function replyToKnownAttempt(request: ReserveRequest): ReserveReply | undefined {
+    const phase = attempts.getPhase(request.attemptId);
     switch (phase) {
       case undefined:
         return undefined;
@@ -121,21 +121,21 @@
   }
 
   async function reserve(request: ReserveRequest, signal?: AbortSignal): Promise<ReserveReply> {
-    const early = replyToKnown(request) ?? refusalOf(request);
-    if (early !== undefined) {
-      return early;
+    const earlyReply = replyToKnownAttempt(request) ?? checkRequest(request);
+    if (earlyReply !== undefined) {
+      return earlyReply;
     }
     const { attemptId } = request;
     const startedAtMs = monotonicNowMs();
-    attempts.reserved(attemptId);
-    const outcome = await admission.reserve(toAdmission(request), signal);
+    attempts.noteReserved(attemptId);
+    const outcome = await admission.reserve(toAdmissionRequest(request), signal);
     if (outcome.kind === 'refused') {
       attempts.forget(attemptId);
       const { reason, detail, retryAfterMs } = outcome;
       return refuse(reason, detail, true, retryAfterMs);
     }
     details.set(attemptId, {
-      shape: shapeOf(request),
+      shape: toWorkShape(request),
       deadlineAtMs:
         request.firstTokenDeadlineInMs > 0
           ? startedAtMs + request.firstTokenDeadlineInMs
@@ -145,7 +145,7 @@
     return granted(outcome.usableInMs);
   }
 
-  function toAdmission(request: ReserveRequest): AdmissionRequest {
+  function toAdmissionRequest(request: ReserveRequest): AdmissionRequest {
     const { entryId, entryIncarnation, origin } = request;
     return {
       attemptId: request.attemptId,
@@ -153,7 +153,7 @@
       purpose: request.purpose,
       institution: origin.institution,
       className: origin.className,
-      kvBytes: kvBytesOf(request),
+      kvBytes: requiredKvBytes(request),
       neededInMs: request.neededInMs,
       expectedHoldMs: expectedHoldMs(request),
       waitLimitMs: request.waitLimitMs,
@@ -161,8 +161,8 @@
     };
   }
 
-  /** A plain call takes one unit of a capacity that is counted in slots. */
-  function kvBytesOf({ purpose, promptTokens, maxOutputTokens }: MemoryShape): number {
+  /** For a plain service the capacity is counted in slots, and a call takes one. */
+  function requiredKvBytes({ purpose, promptTokens, maxOutputTokens }: MemoryDemand): number {
     switch (purpose) {
       case 'prefill':
         return Math.ceil(promptTokens * options.kvBytesPerToken());
@@ -178,7 +178,7 @@
       case 'prefill':
         return estimates.prefillHoldMs(request.promptTokens);
       case 'decode':
-        return estimates.decodeHoldMs(shapeOf(request));
+        return estimates.decodeHoldMs(toWorkShape(request));
       default:
         return estimates.callMs();
     }
@@ -189,26 +189,26 @@
     if (owner !== undefined && owner.entryId !== entryId) {
       return;
     }
-    attempts.cancelled(attemptId);
+    attempts.noteCancelled(attemptId);
     admission.cancelWaiting(attemptId);
-    keeper.giveUp(attemptId);
+    releaser.release(attemptId);
   }
 
   return {
     reserve,
     cancel,
-    kvBytesOf,
+    requiredKvBytes,
     heartbeat: (heartbeat) => {
       const heldAttempts = table.renew(heartbeat, monotonicNowMs());
       return { incarnation: options.incarnation, heldAttempts, load: load() };
     },
-    detailsOf: (attemptId) => details.get(attemptId),
+    getDetails: (attemptId) => details.get(attemptId),
     forget: (attemptId) => {
       details.delete(attemptId);
     },
   };
 }
 
-function shapeOf({ origin, promptTokens, maxOutputTokens }: ReserveRequest): WorkShape {
+function toWorkShape({ origin, promptTokens, maxOutputTokens }: ReserveRequest): WorkShape {
   return { className: origin.className, promptTokens, maxOutputTokens };
 }
--- a/packages/agent/src/settings.ts
+++ b/packages/agent/src/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of `bluebell-agent`: flags and `BLUEBELL_*` environment variables. */
+/** Settings of `bluebell-agent`, given as flags or `BLUEBELL_*` environment variables. */
 import * as z from 'zod';
 import { peerSettings } from '@bluebellhitch/membership';
 import { workerRoleSchema } from '@bluebellhitch/protocol';
--- a/packages/agent/src/stallWatch.ts
+++ b/packages/agent/src/stallWatch.ts
@@ -1,27 +1,27 @@
-/** Finds a stream that stands still, and which side of it is to blame. */
+/** Detects a stalled stream, and whether the engine or the receiver stalls it. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
 export type StalledSide = 'engine' | 'receiver';
 
 export interface StallLimits {
-  /** Bound of the engine's first chunk, which comes after a prefill. */
+  /** Limit for the engine's first chunk, which comes after a prefill. */
   firstChunkStallMs: number;
   chunkStallMs: number;
-  /** Bound of a receiver that takes nothing. */
+  /** Limit for a receiver that takes no data. */
   receiverStallMs: number;
 }
 
 export interface StallWatch {
-  waitForEngine(): void;
-  waitForReceiver(): void;
+  startEngineWait(): void;
+  startReceiverWait(): void;
   stalledSide(): StalledSide | undefined;
   stop(): void;
 }
 
-/** One timer serves the whole stream: one for each token would cost more than the token. */
+/** One interval timer serves the whole stream, since a timer per token would cost more than the token. */
 const checkIntervalMs = 500;
-/** A check this late means that this process was paused, and the chunks wait in its sockets. */
-const pausedMs = 2 * checkIntervalMs;
+/** A longer gap between two checks means that this process was paused and chunks wait in its sockets. */
+const pauseThresholdMs = 2 * checkIntervalMs;
 
 export function createStallWatch(limits: StallLimits, onStall: () => void): StallWatch {
   let waitingSide: StalledSide = 'engine';
@@ -33,7 +33,7 @@
 
   function check(): void {
     const nowMs = monotonicNowMs();
-    if (nowMs - checkedAtMs > pausedMs) {
+    if (nowMs - checkedAtMs > pauseThresholdMs) {
       waitingSinceMs = nowMs;
     }
     checkedAtMs = nowMs;
@@ -43,15 +43,15 @@
     }
   }
 
-  function waitFor(side: StalledSide, sideLimitMs: number): void {
+  function startWait(side: StalledSide, sideLimitMs: number): void {
     waitingSide = side;
     limitMs = sideLimitMs;
     waitingSinceMs = monotonicNowMs();
   }
 
   return {
-    waitForEngine: () => waitFor('engine', limits.chunkStallMs),
-    waitForReceiver: () => waitFor('receiver', limits.receiverStallMs),
+    startEngineWait: () => startWait('engine', limits.chunkStallMs),
+    startReceiverWait: () => startWait('receiver', limits.receiverStallMs),
     stalledSide: () => stalledSide,
     stop: () => clearInterval(timer),
   };
--- a/packages/agent/src/streamFailure.ts
+++ b/packages/agent/src/streamFailure.ts
@@ -1,6 +1,6 @@
 /**
- * Why an answer did not come or was not completed. `notRun` is true only where the engine certainly
- * was not asked to decode, or itself said that it did not start.
+ * Reasons for which a response did not start or was not completed. `notRun` is true only if the engine
+ * certainly received no decode call, or reported that it did not start.
  */
 import type { TruncationCause } from '@bluebellhitch/decisions';
 import type { EngineError } from '@bluebellhitch/engine';
@@ -50,7 +50,7 @@
   };
 }
 
-/** The engine did not begin the answer. */
+/** The engine did not start the response. */
 export function startFailed(error: EngineError, wasCancelled: boolean): StreamFailure {
   if (wasCancelled) {
     return { reason: agentRefusalReasons.cancelled, notRun: 'unknown', detail: 'cancelled' };
@@ -75,13 +75,13 @@
   hasOutput: boolean;
   wasCancelled: boolean;
   stalledSide: StalledSide | undefined;
-  /** How the engine broke the order of its chunks. */
-  breach: TruncationCause | undefined;
+  /** How the engine's chunks violated their order; undefined if they did not. */
+  truncationCause: TruncationCause | undefined;
 }
 
-/** The answer began and ended without its end marker. */
+/** The response started and ended without its end marker. */
 export function interrupted(interruption: Interruption): StreamFailure {
-  const { hasOutput, wasCancelled, stalledSide, breach } = interruption;
+  const { hasOutput, wasCancelled, stalledSide, truncationCause } = interruption;
   const notRun = hasOutput ? false : 'unknown';
   const reason = agentRefusalReasons.backendFailed;
   if (stalledSide === 'engine') {
@@ -90,9 +90,9 @@
   if (wasCancelled) {
     return { reason: agentRefusalReasons.cancelled, notRun, detail: 'cancelled' };
   }
-  return breach === undefined
+  return truncationCause === undefined
     ? { reason, notRun, detail: 'the engine died in the middle of the answer', backendDied: true }
-    : { reason, notRun, detail: `the engine broke the order of the answer: ${breach}` };
+    : { reason, notRun, detail: `the engine broke the order of the answer: ${truncationCause}` };
 }
 
 export function failedFrame(attemptId: string, failure: StreamFailure): StreamFrame {
--- a/packages/agent/src/streamHandler.ts
+++ b/packages/agent/src/streamHandler.ts
@@ -1,10 +1,10 @@
-/** `POST /streams`: a model answer as an event stream, one JSON frame an event. */
+/** `POST /streams`: a model response as an event stream with one JSON frame per event. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { streamRequestSchema, type StreamFrame, type StreamRequest } from '@bluebellhitch/protocol';
 import type { Agent } from './agent';
 import type { FrameSink } from './chunkForwarder';
 
-/** Longest body: a prompt of tens of thousands of tokens with what was emitted so far. */
+/** Enough for a prompt of tens of thousands of tokens with the text emitted so far. */
 const maxBodyBytes = 16 * 1024 * 1024;
 
 export async function handleStream(
@@ -18,15 +18,15 @@
     outgoing.end(JSON.stringify({ title: 'not a stream request' }));
     return;
   }
-  const gone = new AbortController();
+  const connection = new AbortController();
   outgoing.once('close', () => {
     if (!outgoing.writableFinished) {
-      gone.abort();
+      connection.abort();
     }
   });
   outgoing.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' });
   outgoing.flushHeaders();
-  await agent.runStream(request, createSink(outgoing), gone.signal);
+  await agent.runStream(request, createSink(outgoing), connection.signal);
   outgoing.end();
 }
 
@@ -40,20 +40,20 @@
 }
 
 async function readBody(incoming: IncomingMessage): Promise<string | undefined> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let byteCount = 0;
   try {
-    for await (const part of incoming as AsyncIterable<Buffer>) {
-      byteCount += part.byteLength;
+    for await (const chunk of incoming as AsyncIterable<Buffer>) {
+      byteCount += chunk.byteLength;
       if (byteCount > maxBodyBytes) {
         return undefined;
       }
-      parts.push(part);
+      chunks.push(chunk);
     }
   } catch {
     return undefined;
   }
-  return Buffer.concat(parts).toString('utf8');
+  return Buffer.concat(chunks).toString('utf8');
 }
 
 function createSink(outgoing: ServerResponse): FrameSink {
@@ -61,18 +61,18 @@
     if (outgoing.destroyed || outgoing.write(`data: ${JSON.stringify(frame)}\n\n`)) {
       return undefined;
     }
-    return untilRoom(outgoing);
+    return waitForDrain(outgoing);
   };
 }
 
-function untilRoom(outgoing: ServerResponse): Promise<void> {
+function waitForDrain(outgoing: ServerResponse): Promise<void> {
   return new Promise((resolve) => {
-    const proceed = () => {
-      outgoing.off('drain', proceed);
-      outgoing.off('close', proceed);
+    const onWritable = () => {
+      outgoing.off('drain', onWritable);
+      outgoing.off('close', onWritable);
       resolve();
     };
-    outgoing.on('drain', proceed);
-    outgoing.on('close', proceed);
+    outgoing.on('drain', onWritable);
+    outgoing.on('close', onWritable);
   });
 }
--- a/packages/agent/src/streamRunner.ts
+++ b/packages/agent/src/streamRunner.ts
@@ -1,6 +1,7 @@
 /**
- * Runs one model answer: waits for the promised memory, brings the prompt's KV cache into the engine,
- * and forwards the engine's chunks as frames. The lease ends with the answer, or is given up.
+ * Runs one model response: waits for the promised memory, imports the prompt's KV cache into the engine if
+ * it comes from a prefill worker, and forwards the engine's chunks as frames. The lease ends with a complete
+ * response; otherwise it is released.
  */
 import type { LeaseTable, PrefillBacklog } from '@bluebellhitch/decisions';
 import type { EngineApi, EngineChunk, EngineError } from '@bluebellhitch/engine';
@@ -17,7 +18,7 @@
 import type { AttemptRecord } from './attemptRecord';
 import { forwardChunks, type ForwardOutcome, type FrameSink } from './chunkForwarder';
 import type { KvImporter } from './kvImporter';
-import type { LeaseKeeper } from './leaseKeeper';
+import type { LeaseReleaser } from './leaseReleaser';
 import type { ReservationDetails } from './reservations';
 import type { StallLimits } from './stallWatch';
 import {
@@ -35,49 +36,49 @@
 export interface StreamRunnerOptions extends Partial<StallLimits> {
   engine: Pick<EngineApi, 'decode' | 'resume'>;
   table: LeaseTable;
-  keeper: LeaseKeeper;
+  releaser: LeaseReleaser;
   admission: Admission;
   importer: KvImporter;
   attempts: AttemptRecord;
   estimates: WorkEstimates;
   observer: AgentObserver;
   load: () => LoadHint;
-  detailsOf: (attemptId: string) => ReservationDetails | undefined;
+  getDetails: (attemptId: string) => ReservationDetails | undefined;
   backlog: PrefillBacklog;
-  /** Prompt tokens that the engine probably has to compute. */
+  /** Estimated prompt tokens that the engine has to compute. */
   uncachedTokens: (prompt: string) => number;
-  /** How late a first token may be before a local prefill is not worth its cost. */
-  lateBudgetMs?: number;
-  /** Bound of the wait for memory that was promised and is not free yet. */
-  memoryWaitMs?: number;
+  /** Longest predicted delay of the first token past its target for which a local prefill is still started. */
+  maxLatenessMs?: number;
+  /** Timeout for promised memory that is not free yet. */
+  memoryTimeoutMs?: number;
 }
 
 export interface StreamRunner {
-  /** Settles when the answer has ended. `signal` aborts when the receiver has gone. */
+  /** Resolves when the response has ended. `signal` aborts when the receiver disconnects. */
   run(request: StreamRequest, sink: FrameSink, signal: AbortSignal): Promise<void>;
 }
 
 const defaults = {
-  lateBudgetMs: 2000,
-  memoryWaitMs: 1000,
+  maxLatenessMs: 2000,
+  memoryTimeoutMs: 1000,
   firstChunkStallMs: 30_000,
   chunkStallMs: 5000,
   receiverStallMs: 10_000,
 };
-/** The remaining time of a stream is predicted anew after this many tokens. */
-const forecastEveryTokens = 16;
+/** Tokens between two predictions of a stream's remaining time. */
+const forecastIntervalTokens = 16;
 
 export function createStreamRunner(options: StreamRunnerOptions): StreamRunner {
-  const { engine, table, keeper, admission, importer, attempts, estimates, observer, backlog } =
+  const { engine, table, releaser, admission, importer, attempts, estimates, observer, backlog } =
     options;
   const limits = { ...defaults, ...options };
 
   async function run(request: StreamRequest, sink: FrameSink, signal: AbortSignal): Promise<void> {
-    const refusal = refusalOf(request) ?? (await waitForMemory(request, signal));
-    // The wait may have let a second request of the same attempt pass the first check.
+    const refusal = checkAttempt(request) ?? (await waitForMemory(request, signal));
+    // Another request of the same attempt may have passed the first check during the wait.
     const failure =
       refusal ??
-      (attempts.start(request.attemptId)
+      (attempts.tryStart(request.attemptId)
         ? await runStarted(request, sink, signal)
         : repeatedAttempt);
     if (failure !== undefined && !signal.aborted) {
@@ -86,8 +87,8 @@
     }
   }
 
-  function refusalOf(request: StreamRequest): StreamFailure | undefined {
-    const phase = attempts.phaseOf(request.attemptId);
+  function checkAttempt(request: StreamRequest): StreamFailure | undefined {
+    const phase = attempts.getPhase(request.attemptId);
     if (phase === 'started' || phase === 'ended') {
       return repeatedAttempt;
     }
@@ -96,7 +97,7 @@
     }
     const lease = table.get(request.attemptId);
     if (lease === undefined || lease.owner?.entryId !== request.entryId) {
-      // An earlier incarnation of this process may have run an attempt that this one does not know.
+      // An attempt that this process does not know may have been run by an earlier incarnation.
       const notRun = phase === 'reserved' ? true : 'unknown';
       return { reason: agentRefusalReasons.unknownLease, notRun, detail: 'no lease' };
     }
@@ -109,11 +110,11 @@
     { attemptId }: StreamRequest,
     signal: AbortSignal,
   ): Promise<StreamFailure | undefined> {
-    if (await admission.untilHeld(attemptId, limits.memoryWaitMs, signal)) {
+    if (await admission.waitUntilHeld(attemptId, limits.memoryTimeoutMs, signal)) {
       return undefined;
     }
-    keeper.giveUp(attemptId);
-    return attempts.phaseOf(attemptId) === 'cancelled'
+    releaser.release(attemptId);
+    return attempts.getPhase(attemptId) === 'cancelled'
       ? cancelledBeforeDecode
       : memoryNotFree(options.load().queueWaitMs);
   }
@@ -125,30 +126,30 @@
   ): Promise<StreamFailure | undefined> {
     const { attemptId } = request;
     const task = new AbortController();
-    const leave = () => keeper.giveUp(attemptId);
-    keeper.attach(attemptId, () => task.abort());
-    signal.addEventListener('abort', leave);
+    const onAbort = () => releaser.release(attemptId);
+    releaser.registerTask(attemptId, () => task.abort());
+    signal.addEventListener('abort', onAbort);
     if (signal.aborted) {
-      leave();
+      onAbort();
     }
-    const failure = await answer(request, sink, task);
-    signal.removeEventListener('abort', leave);
-    attempts.ended(attemptId);
+    const failure = await runAttempt(request, sink, task);
+    signal.removeEventListener('abort', onAbort);
+    attempts.noteEnded(attemptId);
     return failure;
   }
 
-  async function answer(
+  async function runAttempt(
     request: StreamRequest,
     sink: FrameSink,
     task: AbortController,
   ): Promise<StreamFailure | undefined> {
     const { attemptId } = request;
-    const imported = await bringKv(request, task.signal);
+    const imported = await importPromptKv(request, task.signal);
     if (typeof imported !== 'boolean') {
-      keeper.giveUp(attemptId);
+      releaser.release(attemptId);
       return imported;
     }
-    if (!table.advance(attemptId, 'streaming', expectedReleaseAtMs(request, 0))) {
+    if (!table.advance(attemptId, 'streaming', predictReleaseAtMs(request, 0))) {
       return cancelledBeforeDecode;
     }
     if (!imported) {
@@ -157,17 +158,17 @@
     const opened = await openDecode(request, imported, task.signal);
     if (opened.isErr()) {
       backlog.drop(attemptId);
-      const wasCancelled = isGivenUp(attemptId);
-      keeper.giveUp(attemptId);
+      const wasCancelled = isReleasing(attemptId);
+      releaser.release(attemptId);
       return startFailed(opened.error, wasCancelled);
     }
     const outcome = await forward(request, opened.value, sink, task);
     backlog.drop(attemptId);
-    return settle(request, outcome, sink);
+    return finishStream(request, outcome, sink);
   }
 
-  /** Whether KV cache was imported, or why the attempt ends. */
-  async function bringKv(
+  /** Resolves to whether KV cache was imported, or to the failure that ends the attempt. */
+  async function importPromptKv(
     request: StreamRequest,
     signal: AbortSignal,
   ): Promise<boolean | StreamFailure> {
@@ -175,7 +176,7 @@
     if (source.kind === 'local' || emitted.tokenCount > 0) {
       return false;
     }
-    table.advance(attemptId, 'importing', expectedReleaseAtMs(request, 0));
+    table.advance(attemptId, 'importing', predictReleaseAtMs(request, 0));
     const outcome = await importer.run(attemptId, source, signal);
     switch (outcome.kind) {
       case 'imported':
@@ -191,8 +192,8 @@
 
   function canPrefillLocally({ attemptId, prompt }: StreamRequest): boolean {
     const prefillMs = estimateTokens(prompt) * estimates.prefillMsPerToken();
-    const deadlineAtMs = options.detailsOf(attemptId)?.deadlineAtMs ?? Infinity;
-    return monotonicNowMs() + prefillMs <= deadlineAtMs + limits.lateBudgetMs;
+    const deadlineAtMs = options.getDetails(attemptId)?.deadlineAtMs ?? Infinity;
+    return monotonicNowMs() + prefillMs <= deadlineAtMs + limits.maxLatenessMs;
   }
 
   function openDecode(
@@ -219,12 +220,12 @@
       sink,
       limits,
       onStall: () => task.abort(),
-      onToken: (emittedTokens, gapMs) => meterToken(request, emittedTokens, gapMs),
+      onToken: (emittedTokens, gapMs) => observeToken(request, emittedTokens, gapMs),
       onDropped: observer.onDroppedChunk,
     });
   }
 
-  function meterToken(
+  function observeToken(
     request: StreamRequest,
     emittedTokens: number,
     gapMs: number | undefined,
@@ -234,43 +235,48 @@
       estimates.observeStep(gapMs);
       observer.onTokenGap(request.attemptId, gapMs);
     }
-    if (emittedTokens % forecastEveryTokens === 0) {
-      table.expectRelease(request.attemptId, expectedReleaseAtMs(request, emittedTokens));
+    if (emittedTokens % forecastIntervalTokens === 0) {
+      table.expectRelease(request.attemptId, predictReleaseAtMs(request, emittedTokens));
     }
   }
 
-  async function settle(
+  async function finishStream(
     request: StreamRequest,
     outcome: ForwardOutcome,
     sink: FrameSink,
   ): Promise<StreamFailure | undefined> {
     const { attemptId } = request;
     if (outcome.kind === 'interrupted') {
-      const wasCancelled = isGivenUp(attemptId);
-      keeper.giveUp(attemptId);
-      const { stalledSide, breach, emittedTokens } = outcome;
-      return interrupted({ hasOutput: emittedTokens > 0, wasCancelled, stalledSide, breach });
+      const wasCancelled = isReleasing(attemptId);
+      releaser.release(attemptId);
+      const { stalledSide, truncationCause, emittedTokens } = outcome;
+      return interrupted({
+        hasOutput: emittedTokens > 0,
+        wasCancelled,
+        stalledSide,
+        truncationCause,
+      });
     }
     if (request.emitted.tokenCount === 0) {
-      estimates.observeOutput(shapeOf(request), outcome.emittedTokens);
+      estimates.observeOutput(resolveWorkShape(request), outcome.emittedTokens);
     }
-    keeper.finish(attemptId);
+    releaser.finish(attemptId);
     const { totalTokens, finishReason } = outcome;
     await sink({ kind: 'end', attemptId, offset: totalTokens, finishReason, load: options.load() });
     return undefined;
   }
 
-  function isGivenUp(attemptId: string): boolean {
+  function isReleasing(attemptId: string): boolean {
     return table.get(attemptId)?.state === 'releasing';
   }
 
-  function shapeOf({ attemptId, prompt, maxOutputTokens }: StreamRequest): WorkShape {
-    const shape = options.detailsOf(attemptId)?.shape;
+  function resolveWorkShape({ attemptId, prompt, maxOutputTokens }: StreamRequest): WorkShape {
+    const shape = options.getDetails(attemptId)?.shape;
     return shape ?? { className: '', promptTokens: estimateTokens(prompt), maxOutputTokens };
   }
 
-  function expectedReleaseAtMs(request: StreamRequest, emittedTokens: number): number {
-    return monotonicNowMs() + estimates.decodeHoldMs(shapeOf(request), emittedTokens);
+  function predictReleaseAtMs(request: StreamRequest, emittedTokens: number): number {
+    return monotonicNowMs() + estimates.decodeHoldMs(resolveWorkShape(request), emittedTokens);
   }
 
   return { run };
--- a/packages/agent/src/withTimeout.ts
+++ b/packages/agent/src/withTimeout.ts
@@ -1,4 +1,4 @@
-/** Bounds a call whose answer may never come. */
+/** Adds a timeout to a call whose response may never arrive. */
 import { err, type Result, type ResultAsync } from 'neverthrow';
 
 export interface TimeoutError {
--- a/packages/agent/src/workEstimates.ts
+++ b/packages/agent/src/workEstimates.ts
@@ -1,11 +1,11 @@
-/** Moving averages of the backend server's work, for predictions. Durations are milliseconds. */
+/** Moving averages of the backend server's work, used for predictions. Durations are in milliseconds. */
 import {
   createLengthPredictor,
   createRecentQuantile,
   createRunningEstimate,
 } from '@bluebellhitch/decisions';
 
-/** What the expected length of an answer depends on. */
+/** Properties of a request on which the expected length of its response depends. */
 export interface WorkShape {
   className: string;
   promptTokens: number;
@@ -17,15 +17,15 @@
   observeOutput(shape: WorkShape, tokenCount: number): void;
   observePrefill(computedTokens: number, durationMs: number): void;
   observeCall(durationMs: number): void;
-  /** The engine's own report, used until streams have been measured. */
+  /** Sets the step time that the engine reports, used until streams have been measured. */
   reportStep(durationMs: number): void;
   stepMs(): number;
   /** 97th percentile of recent steps. */
   slowStepMs(): number;
   prefillMsPerToken(): number;
-  /** Time for which a stream that has emitted so much probably still holds its memory. */
+  /** Expected time for which a stream that has emitted this many tokens still holds its memory. */
   decodeHoldMs(shape: WorkShape, emittedTokens?: number): number;
-  /** Time for which a prefill and its export probably hold their memory. */
+  /** Expected time for which a prefill and its export hold their memory. */
   prefillHoldMs(promptTokens: number): number;
   callMs(): number;
 }
@@ -37,11 +37,11 @@
 const initialStepMs = 20;
 const initialPrefillMsPerToken = 0.2;
 const initialCallMs = 50;
-/** Most exports are fetched well before the engine drops them. */
+/** Shorter than the retention time of exports, since most are fetched well before the engine drops them. */
 const exportHoldMs = 300;
-/** Answers whose 95th percentile shall stay within a target need some distance to it. */
+/** Above the 95th percentile that has to stay within a target, to leave a margin. */
 const slowStepQuantile = 0.97;
-/** A forecast that is too early makes a promise wait, so it leans to the late side. */
+/** Above the median: a release predicted too early makes promised memory late, so predictions lean to late. */
 const lengthQuantile = 0.75;
 
 export function createWorkEstimates({ service }: WorkEstimatesOptions): WorkEstimates {
