--- a/packages/agent/__tests__/admission.test.ts
+++ b/packages/agent/__tests__/admission.test.ts
@@ -56,7 +56,7 @@
   const bench = await startBench(t, { capacityKvBytes: 100 });
   const stopHeartbeats = startHeartbeats(bench);
   await reserve(bench, 'running');
-  bench.agent.books.table.expectRelease('running', 100);
+  bench.agent.leasing.table.expectRelease('running', 100);
   t.is((await reserve(bench, 'next', { neededInMs: 300 })).kind, 'granted');
   const next = openStream(bench, 'next');
   await bench.clock.tickAsync(1100);
@@ -105,7 +105,7 @@
   const startedAtMs = performance.now();
   const waiting = reserve(bench, 'next', { waitLimitMs: 3000 });
   await bench.clock.tickAsync(200);
-  bench.agent.books.table.expectRelease('running', startedAtMs + 60_000);
+  bench.agent.leasing.table.expectRelease('running', startedAtMs + 60_000);
   await bench.clock.tickAsync(200);
   t.like(await waiting, { kind: 'refused', reason: 'deadline-hopeless', notRun: true });
   stopHeartbeats();
--- a/packages/agent/__tests__/cancellation.test.ts
+++ b/packages/agent/__tests__/cancellation.test.ts
@@ -11,7 +11,7 @@
 } from './helpers/agentBench';
 
 function heldKvBytes({ agent }: AgentBench): number {
-  return agent.books.table.totals().heldKvBytes;
+  return agent.leasing.table.totals().heldKvBytes;
 }
 
 function cancel({ agent }: AgentBench, attemptId: string): Promise<void> {
--- a/packages/agent/__tests__/innerSecurity.test.ts
+++ b/packages/agent/__tests__/innerSecurity.test.ts
@@ -41,7 +41,7 @@
     ]),
   );
   t.is(refused.length, 9);
-  t.is(agent.books.table.leases().length, 0);
+  t.is(agent.leasing.table.leases().length, 0);
   t.is(engine.holdings.size, 0);
   const allowed = clientOf(server.address, entry, innerAudiences.agent);
   t.is((await allowed.reserve.mutate(reservation('a'))).kind, 'granted');
@@ -95,5 +95,5 @@
   });
   t.is(await response.text(), 'balance');
   t.deepEqual(seen, ['Bearer of-the-caller', undefined]);
-  t.true(await waitUntil(() => agent.books.table.leases().length === 0));
+  t.true(await waitUntil(() => agent.leasing.table.leases().length === 0));
 });
--- a/packages/agent/__tests__/plainProxy.test.ts
+++ b/packages/agent/__tests__/plainProxy.test.ts
@@ -139,7 +139,7 @@
   const { server, agent } = await startPlainBench(t, (_, outgoing) => {
     running.push(() => outgoing.end('done'));
   });
-  agent.books.table.setCapacity({ kvBytes: 2, slots: 2 });
+  agent.leasing.table.setCapacity({ kvBytes: 2, slots: 2 });
   const send = (attemptId: string, deadlineInMs?: number) =>
     fetch(`${server.address}/plain/x`, { headers: plainHeaders(attemptId, deadlineInMs) });
   const first = [send('a'), send('b')];
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -74,7 +74,7 @@
   config(): AgentConfig;
   load(): LoadHint;
   /** For the plain proxy, whose calls take leases from the same table. */
-  books: LeaseComponents;
+  leasing: LeaseComponents;
 }
 
 export interface LeaseComponents {
@@ -327,7 +327,7 @@
     },
     isReady: () => !isLeaving() && role() !== undefined,
     config: () => config,
-    books: { table, releaser, attempts, estimates, reservations },
+    leasing: { table, releaser, attempts, estimates, reservations },
   };
 }
 
--- a/packages/agent/src/agentProcess.ts
+++ b/packages/agent/src/agentProcess.ts
@@ -83,14 +83,14 @@
     metrics: {
       ...metrics,
       render: () => {
-        reportLeases(metrics, agent.books.table, agent.load().queuedCount);
+        reportLeases(metrics, agent.leasing.table, agent.load().queuedCount);
         return metrics.render();
       },
     },
     ring,
     isReady: agent.isReady,
     routes: {
-      '/debug/leases': () => agent.books.table.leases(),
+      '/debug/leases': () => agent.leasing.table.leases(),
       '/debug/config': () => describeConfig(settings, agent.config()),
     },
   });
--- a/packages/agent/src/documentFeed.ts
+++ b/packages/agent/src/documentFeed.ts
@@ -39,7 +39,7 @@
 
 export function createDocumentFeed(options: DocumentFeedOptions): DocumentFeed {
   const { platform, instanceId, dataCentre, service, random = Math.random } = options;
-  const store = createFeedStore({ bound: 1000 });
+  const store = createFeedStore({ maxRecords: 1000 });
   const directory = createInstanceDirectory({ platform, random });
   const follower = createFeedFollower({
     platform,
--- a/packages/agent/src/plainProxy.ts
+++ b/packages/agent/src/plainProxy.ts
@@ -23,7 +23,7 @@
 } from './plainHeaders';
 
 export interface PlainProxyOptions {
-  agent: Pick<Agent, 'books' | 'load' | 'config'>;
+  agent: Pick<Agent, 'leasing' | 'load' | 'config'>;
   /** `http://ip:port` of the backend server. */
   backendUrl: string;
   connectTimeoutMs?: number;
@@ -55,7 +55,7 @@
 
 export function createPlainProxy(options: PlainProxyOptions): PlainProxy {
   const { agent, backendUrl, connectTimeoutMs = defaultConnectTimeoutMs } = options;
-  const { table, releaser, attempts, estimates, reservations } = agent.books;
+  const { table, releaser, attempts, estimates, reservations } = agent.leasing;
   const pool = new Pool(backendUrl, {
     connect: { timeout: connectTimeoutMs },
     keepAliveTimeout: keepAliveMs,
--- a/packages/membership/__tests__/feedStore.test.ts
+++ b/packages/membership/__tests__/feedStore.test.ts
@@ -38,7 +38,7 @@
 });
 
 test('a full store evicts old quarantines, and never an accepted document', (t) => {
-  const store = createFeedStore({ bound: 3 });
+  const store = createFeedStore({ maxRecords: 3 });
   const quarantine = (key: string) => record(key, 1, { kind: 'quarantine' });
   store.apply([record('a', 1), quarantine('s/1'), quarantine('s/2')]);
   store.apply([record('b', 1), record('c', 1)]);
--- a/packages/membership/src/feedStore.ts
+++ b/packages/membership/src/feedStore.ts
@@ -7,7 +7,7 @@
 
 export interface FeedStoreOptions {
   /** Old tombstones of quarantines are evicted first, then old quarantines; accepted documents never are. */
-  bound?: number;
+  maxRecords?: number;
   /** Distinguishes the cursors of this run from those of other processes and earlier runs. */
   incarnation?: string;
 }
@@ -55,7 +55,8 @@
 const logSlack = 64;
 
 export function createFeedStore(options: FeedStoreOptions = {}): FeedStore {
-  const { bound = defaultMaxRecords, incarnation = Math.random().toString(36).slice(2) } = options;
+  const { maxRecords = defaultMaxRecords, incarnation = Math.random().toString(36).slice(2) } =
+    options;
   const stored = new Map<string, StoredRecord>();
   const listeners = new Set<(applied: readonly FeedRecord[]) => void>();
   let log: LogEntry[] = [];
@@ -86,7 +87,7 @@
     if (known !== undefined && compareRecency(record, known) <= 0) {
       return false;
     }
-    if (known === undefined && stored.size >= bound && !evictOne()) {
+    if (known === undefined && stored.size >= maxRecords && !evictOne()) {
       return false;
     }
     invariant(
--- a/packages/scenarios/src/language/requestStage.ts
+++ b/packages/scenarios/src/language/requestStage.ts
@@ -25,7 +25,7 @@
 function leaseStates(world: World, requestName: string): string[] {
   return [...world.agents.values()]
     .filter((agent) => agent.process().state() !== 'crashed')
-    .flatMap((agent) => agent.agent().books.table.leases())
+    .flatMap((agent) => agent.agent().leasing.table.leases())
     .filter(({ attemptId }) => world.requestOf(attemptId) === requestName)
     .map(({ state }) => state);
 }
