--- a/packages/ctl/__tests__/helpers/ctlBench.ts
+++ b/packages/ctl/__tests__/helpers/ctlFixture.ts
@@ -1,6 +1,6 @@
-/** Runs command lines against a platform in memory and files in a map. */
+/** Runs command lines of `bluebellctl` against an in-memory platform and in-memory files. */
 import { err, ok } from 'neverthrow';
-import { plainPaint, runCtl, type CtlIo } from '@bluebellhitch/ctl';
+import { plainStyles, runCtl, type CtlIo } from '@bluebellhitch/ctl';
 import { createMemoryPlatform } from './memoryPlatform';
 
 export const deskText = `# Our desk.
@@ -15,15 +15,15 @@
   - { name: counter, weight: 2 }
 `;
 
-export function createCtlBench(files: Record<string, string> = {}) {
+export function createCtlFixture(files: Record<string, string> = {}) {
   const platform = createMemoryPlatform();
-  const adminAnswers: Record<string, unknown> = {};
+  const adminResponses: Record<string, unknown> = {};
 
   async function run(...argv: string[]) {
     const written = { output: '', errors: '' };
     const io: CtlIo = {
       json: false,
-      paint: plainPaint,
+      styles: plainStyles,
       writeOutput: (text) => {
         written.output += text;
       },
@@ -35,8 +35,8 @@
         return text === undefined ? err('no such file') : ok(text);
       },
       readAdmin: async (address, path) => {
-        const answer = adminAnswers[`${address}${path}`];
-        return answer === undefined ? err({ kind: 'not-found' }) : ok(answer);
+        const response = adminResponses[`${address}${path}`];
+        return response === undefined ? err({ kind: 'not-found' }) : ok(response);
       },
       delay: async () => undefined,
     };
@@ -55,5 +55,5 @@
     return (object.value as { text: string }).text;
   }
 
-  return { platform, files, adminAnswers, run, storedText };
+  return { platform, files, adminResponses, run, storedText };
 }
--- a/packages/ctl/__tests__/helpers/memoryPlatform.ts
+++ b/packages/ctl/__tests__/helpers/memoryPlatform.ts
@@ -1,4 +1,4 @@
-/** A platform in memory whose writes tests can interfere with. */
+/** An in-memory platform. Tests can make its calls fail and change objects right before a write. */
 import { errAsync, okAsync, type ResultAsync } from 'neverthrow';
 import type {
   ObjectKind,
@@ -9,12 +9,13 @@
 } from '@bluebellhitch/objects';
 
 export interface MemoryPlatform extends PlatformApi {
-  /** Writes without a condition, as another operator's tool did a moment ago. */
+  /** Writes without a condition, as another operator would. */
   put(kind: ObjectKind, key: string, value: unknown): void;
-  /** Runs once, right before the next conditional write. */
+  /** Runs an action once, right before the next conditional write. */
   beforeNextWrite(action: () => void): void;
-  /** The next conditional write takes effect, but its answer is lost. */
-  loseNextAnswer(): void;
+  /** The next conditional write takes effect, but its response is lost. */
+  loseNextResponse(): void;
+  /** All further calls fail with this error. */
   fail(error: PlatformError): void;
   addInstance(instance: PlatformInstance): void;
 }
@@ -23,8 +24,8 @@
   const objects = new Map<string, StoredObject>();
   const instances: PlatformInstance[] = [];
   let failure: PlatformError | undefined;
-  let interference: (() => void) | undefined;
-  let answerIsLost = false;
+  let nextWriteHook: (() => void) | undefined;
+  let losesNextResponse = false;
 
   const put = (kind: ObjectKind, key: string, value: unknown): StoredObject => {
     const version = (objects.get(`${kind}/${key}`)?.version ?? 0) + 1;
@@ -33,7 +34,7 @@
     return object;
   };
 
-  const answer = <Value>(read: () => Value | undefined): ResultAsync<Value, PlatformError> => {
+  const respond = <Value>(read: () => Value | undefined): ResultAsync<Value, PlatformError> => {
     if (failure !== undefined) {
       return errAsync(failure);
     }
@@ -42,15 +43,15 @@
   };
 
   const write = (kind: ObjectKind, key: string, version: number, value: unknown) => {
-    interference?.();
-    interference = undefined;
+    nextWriteHook?.();
+    nextWriteHook = undefined;
     const current = objects.get(`${kind}/${key}`);
     if (failure !== undefined || (current?.version ?? 0) !== version) {
       return errAsync<StoredObject, PlatformError>(failure ?? { kind: 'conflict', current });
     }
     const object = put(kind, key, value);
-    const isLost = answerIsLost;
-    answerIsLost = false;
+    const isLost = losesNextResponse;
+    losesNextResponse = false;
     return isLost
       ? errAsync<StoredObject, PlatformError>({ kind: 'unknown-outcome', detail: 'reset' })
       : okAsync<StoredObject, PlatformError>(object);
@@ -59,18 +60,18 @@
   return {
     put,
     beforeNextWrite: (action) => {
-      interference = action;
+      nextWriteHook = action;
     },
-    loseNextAnswer: () => {
-      answerIsLost = true;
+    loseNextResponse: () => {
+      losesNextResponse = true;
     },
     fail: (error) => {
       failure = error;
     },
     addInstance: (instance) => instances.push(instance),
-    get: (kind, key) => answer(() => objects.get(`${kind}/${key}`)),
+    get: (kind, key) => respond(() => objects.get(`${kind}/${key}`)),
     list: (kind) =>
-      answer(() => ({
+      respond(() => ({
         objects: [...objects.values()].filter((object) => object.kind === kind),
         cursor: '0',
       })),
@@ -78,6 +79,6 @@
     update: write,
     remove: () => errAsync({ kind: 'rejected', detail: 'not used' }),
     watch: () => errAsync({ kind: 'rejected', detail: 'not used' }),
-    instances: () => answer(() => instances),
+    instances: () => respond(() => instances),
   };
 }
--- a/packages/ctl/src/adminPorts.ts
+++ b/packages/ctl/src/adminPorts.ts
@@ -1,25 +1,25 @@
-/** What processes themselves say on their admin ports. */
+/** Queries the admin ports of entries and agents. */
 import type { Result } from 'neverthrow';
 import * as z from 'zod';
 import type { PlatformInstance } from '@bluebellhitch/objects';
 import type { AdminError, CtlIo } from './ctlIo';
 
-/** A process's answer to `/debug/config`. */
+/** The response of a process to `GET /debug/config`. */
 const processConfigSchema = z.object({
   instanceId: z.string(),
   dataCentre: z.string(),
-  /** Generation in force, by service. */
+  /** Active generation of the document, by service. */
   generations: z.record(z.string(), z.number()),
 });
 export type ProcessConfig = z.infer<typeof processConfigSchema>;
 
-export type AskedProcess =
+export type QueriedProcess =
   | { kind: 'answered'; address: string; config: ProcessConfig }
   | { kind: 'silent'; address: string; detail: string };
 
-const concurrency = 32;
+const maxConcurrency = 32;
 
-/** Admin addresses given by hand and those that the list of instances knows, each once. */
+/** The given admin addresses and those in the list of instances, without duplicates. */
 export function adminAddresses(
   given: readonly string[],
   instances: readonly PlatformInstance[],
@@ -28,35 +28,39 @@
   return [...new Set([...given, ...listed])];
 }
 
-export async function askConfigs(io: CtlIo, addresses: readonly string[]): Promise<AskedProcess[]> {
-  return askAll(addresses, async (address) =>
-    toAskedProcess(address, await io.readAdmin(address, '/debug/config')),
+export async function fetchConfigs(
+  io: CtlIo,
+  addresses: readonly string[],
+): Promise<QueriedProcess[]> {
+  return queryAll(addresses, async (address) =>
+    toQueriedProcess(address, await io.readAdmin(address, '/debug/config')),
   );
 }
 
-/** Asks all addresses, a bounded number at once. */
-export async function askAll<Answer>(
+/** Queries all addresses, at most `maxConcurrency` at a time. */
+export async function queryAll<Value>(
   addresses: readonly string[],
-  ask: (address: string) => Promise<Answer>,
-): Promise<Answer[]> {
+  query: (address: string) => Promise<Value>,
+): Promise<Value[]> {
   if (addresses.length === 0) {
     return [];
   }
-  const answers = await Promise.all(addresses.slice(0, concurrency).map(ask));
-  return [...answers, ...(await askAll(addresses.slice(concurrency), ask))];
+  const responses = await Promise.all(addresses.slice(0, maxConcurrency).map(query));
+  return [...responses, ...(await queryAll(addresses.slice(maxConcurrency), query))];
 }
 
 function listedAddress({ adminAddress }: PlatformInstance): string[] {
   return adminAddress === undefined ? [] : [adminAddress];
 }
 
-function toAskedProcess(address: string, answer: Result<unknown, AdminError>): AskedProcess {
-  if (answer.isErr()) {
-    const detail = answer.error.kind === 'not-found' ? 'has no /debug/config' : answer.error.detail;
+function toQueriedProcess(address: string, response: Result<unknown, AdminError>): QueriedProcess {
+  if (response.isErr()) {
+    const detail =
+      response.error.kind === 'not-found' ? 'has no /debug/config' : response.error.detail;
     return { kind: 'silent', address, detail };
   }
-  const config = processConfigSchema.safeParse(answer.value);
+  const config = processConfigSchema.safeParse(response.value);
   return config.success
     ? { kind: 'answered', address, config: config.data }
-    : { kind: 'silent', address, detail: 'answers /debug/config in an unknown form' };
+    : { kind: 'silent', address, detail: 'returns /debug/config in an unknown format' };
 }
--- a/packages/ctl/src/applyDocument.ts
+++ b/packages/ctl/src/applyDocument.ts
@@ -1,4 +1,4 @@
-/** Writes one valid document to the platform, unless somebody else wrote first. */
+/** Writes one valid document to the platform, on condition that its version has not changed meanwhile. */
 import type { DocumentChange } from '@bluebellhitch/document';
 import type { PlatformApi, PlatformError } from '@bluebellhitch/objects';
 import { findStoredDocument, writeDocument, type StoredDocument } from './documentObject';
@@ -7,7 +7,7 @@
 
 export type ApplyOutcome =
   | { kind: 'written'; version: number; changes: DocumentChange[] | undefined }
-  /** The platform has this very text. */
+  /** The platform already has the same text. */
   | { kind: 'unchanged'; version: number }
   | LostRace
   | { kind: 'failed'; error: PlatformError };
@@ -16,15 +16,15 @@
   kind: 'lost-race';
   baseVersion: number;
   currentVersion: number;
-  /** What others changed since the base version; `undefined` where its text is not known. */
+  /** What others changed since the base version; `undefined` if the text of that version is not known. */
   changedInBetween?: DocumentChange[];
-  /** What the file would change now, and so partly undo. */
+  /** What the file would change in the current version; this may revert changes of others. */
   changesNow?: DocumentChange[];
 }
 
 export interface ApplyOptions {
   local: ValidDocument;
-  /** Version that the file was made from; absent: whatever is there now. */
+  /** Version that the file was made from; defaults to the current version on the platform. */
   baseVersion?: number;
 }
 
@@ -44,10 +44,10 @@
   if (baseVersion !== undefined && baseVersion !== currentVersion) {
     return createLostRace(local, { baseVersion, current: base });
   }
-  return writeOver(platform, local, base);
+  return writeNewVersion(platform, local, base);
 }
 
-async function writeOver(
+async function writeNewVersion(
   platform: PlatformApi,
   local: ValidDocument,
   base: StoredDocument | undefined,
@@ -62,7 +62,7 @@
     case 'conflict':
     case 'not-found':
     case 'unknown-outcome':
-      return settle(platform, local, base, written.error);
+      return verifyWrite(platform, local, base, written.error);
     case 'rate-limited':
     case 'unavailable':
     case 'rejected':
@@ -73,10 +73,11 @@
 }
 
 /**
- * Reads back after a conflict or a lost answer. Our own text behind a lost answer means that the
- * write took effect; an unchanged version leaves it open, because the write may still arrive.
+ * Reads the document back after a conflict or a lost response. If the platform now has our text, the write took
+ * effect and only its response was lost. If the version is unchanged, the outcome stays open, because the write may
+ * still arrive.
  */
-async function settle(
+async function verifyWrite(
   platform: PlatformApi,
   local: ValidDocument,
   base: StoredDocument | undefined,
--- a/packages/ctl/src/baseVersion.ts
+++ b/packages/ctl/src/baseVersion.ts
@@ -1,23 +1,23 @@
 /**
- * The version that an edit started from. `get` notes it in the first line, so that `apply` of the
- * edited file cannot silently undo what somebody else wrote in between.
+ * The version that an edit started from. `get` writes it as a comment into the first line, so that `apply` of the
+ * edited file cannot silently revert what somebody else wrote in the meantime.
  */
 
-const notePattern = /^# bluebellctl: version (\d+)\r?\n/;
+const versionNotePattern = /^# bluebellctl: version (\d+)\r?\n/;
 
-/** JSON has no comments: its base version is given by a flag. */
+/** JSON has no comments; its base version is given with `--base-version`. */
 export function addVersionNote(text: string, format: 'yaml' | 'json', version: number): string {
   return format === 'json' ? text : `# bluebellctl: version ${version}\n${text}`;
 }
 
-export interface NotedText {
-  /** The text without the note: this is what is stored. */
+export interface TextWithBaseVersion {
+  /** The text without the version note, as the platform stores it. */
   text: string;
   baseVersion?: number;
 }
 
-export function splitVersionNote(text: string): NotedText {
-  const match = notePattern.exec(text);
+export function splitVersionNote(text: string): TextWithBaseVersion {
+  const match = versionNotePattern.exec(text);
   return match === null
     ? { text }
     : { text: text.slice(match[0].length), baseVersion: Number(match[1]) };
--- a/packages/ctl/src/commandLine.ts
+++ b/packages/ctl/src/commandLine.ts
@@ -1,4 +1,4 @@
-/** Command line of `bluebellctl`: verbs, flags and settings, all findings reported together. */
+/** Parses the command line of `bluebellctl`: verbs, flags and settings. Reports all findings together. */
 import meow from 'meow';
 import { err, ok, type Result } from 'neverthrow';
 import { environmentName, flagName, type Finding } from '@bluebellhitch/shared';
@@ -53,9 +53,15 @@
   if (!isVerb(verb)) {
     return err([{ path: verb, message: 'unknown verb', hint: 'see bluebellctl --help' }]);
   }
-  const read = readFlags(flags, env);
-  const findings = [...unknownFlags(flags), ...countFindings(verb, args), ...read.findings];
-  return findings.length > 0 ? err(findings) : ok({ kind: 'verb', verb, args, flags: read.values });
+  const parsed = parseFlags(flags, env);
+  const findings = [
+    ...unknownFlagFindings(flags),
+    ...argCountFindings(verb, args),
+    ...parsed.findings,
+  ];
+  return findings.length > 0
+    ? err(findings)
+    : ok({ kind: 'verb', verb, args, flags: parsed.values });
 }
 
 type RawFlags = Readonly<Record<string, unknown>> & {
@@ -67,7 +73,7 @@
   waitMs?: string;
 };
 
-function readFlags(flags: RawFlags, env: Environment): { values: CtlFlags; findings: Finding[] } {
+function parseFlags(flags: RawFlags, env: Environment): { values: CtlFlags; findings: Finding[] } {
   const platformUrl = flags.platformUrl || env[environmentName('platformUrl')] || undefined;
   const values = {
     platformUrl,
@@ -81,30 +87,32 @@
   const findings = [
     ...urls,
     ...values.admin.flatMap((address) => urlFindings('admin', address)),
-    ...countFinding('baseVersion', values.baseVersion ?? 0),
-    ...countFinding('waitMs', values.waitMs),
+    ...integerFindings('baseVersion', values.baseVersion ?? 0),
+    ...integerFindings('waitMs', values.waitMs),
   ];
   return { values, findings };
 }
 
 function urlFindings(name: string, text: string): Finding[] {
-  const isHttp = URL.canParse(text) && /^https?:$/.test(new URL(text).protocol);
-  return isHttp ? [] : [{ path: flagName(name), message: `${text} is no http:// address` }];
+  const isHttpAddress = URL.canParse(text) && /^https?:$/.test(new URL(text).protocol);
+  return isHttpAddress
+    ? []
+    : [{ path: flagName(name), message: `${text} is not an http:// address` }];
 }
 
-function countFinding(name: string, value: number): Finding[] {
+function integerFindings(name: string, value: number): Finding[] {
   return Number.isInteger(value) && value >= 0
     ? []
     : [{ path: flagName(name), message: 'must be a whole number, 0 or above' }];
 }
 
-function unknownFlags(flags: Readonly<Record<string, unknown>>): Finding[] {
+function unknownFlagFindings(flags: Readonly<Record<string, unknown>>): Finding[] {
   return Object.keys(flags)
     .filter((name) => !(name in flagTypes))
     .map((name) => ({ path: flagName(name), message: 'unknown flag' }));
 }
 
-function countFindings(verb: VerbName, args: readonly string[]): Finding[] {
+function argCountFindings(verb: VerbName, args: readonly string[]): Finding[] {
   const { usage, minArgs, maxArgs } = verbs[verb];
   return args.length >= minArgs && args.length <= maxArgs
     ? []
--- a/packages/ctl/src/documentObject.ts
+++ b/packages/ctl/src/documentObject.ts
@@ -1,4 +1,4 @@
-/** The `document` object of a service on the platform: its text as the author wrote it. */
+/** Reads and writes the `document` object of a service on the platform: the text as its author wrote it. */
 import { err, errAsync, ok, okAsync, type Result, type ResultAsync } from 'neverthrow';
 import * as z from 'zod';
 import {
@@ -26,7 +26,7 @@
   return platform.get(objectKinds.document, service).andThen(toStoredDocument);
 }
 
-/** `undefined` where the platform has no such document. */
+/** `undefined` if the platform has no such document. */
 export function findStoredDocument(
   platform: PlatformApi,
   service: string,
@@ -48,7 +48,7 @@
   );
 }
 
-/** Writes only where the platform still has `version`; 0 means that there is no document yet. */
+/** Writes only if the platform still has `version`; 0 means that there is no document yet. */
 export function writeDocument(
   platform: PlatformApi,
   service: string,
--- a/packages/ctl/src/editDocument.ts
+++ b/packages/ctl/src/editDocument.ts
@@ -1,4 +1,4 @@
-/** Conditional edits of the document that the platform holds: read, change, write if unchanged. */
+/** Conditional edits of the document on the platform: read, change, write if the version is unchanged. */
 import { parseDocument } from '@bluebellhitch/document';
 import type { PlatformApi, PlatformError } from '@bluebellhitch/objects';
 import type { Finding } from '@bluebellhitch/shared';
@@ -7,7 +7,7 @@
 
 export type EditOutcome =
   | { kind: 'written'; version: number }
-  /** The document says so already. */
+  /** The document already has the requested content. */
   | { kind: 'unchanged'; version: number }
   /** The edited document would be rejected; nothing was written. */
   | { kind: 'findings'; findings: Finding[] }
@@ -17,8 +17,8 @@
 const maxAttempts = 5;
 
 /**
- * Tries again after a lost race, because the edit concerns one item of a list and is idempotent. The
- * same loop settles a lost answer: where the write took effect, the next read finds nothing to do.
+ * Retries after a version conflict, because the edit concerns one item of a list and is idempotent. The same loop
+ * handles a lost response: if the write took effect, the next attempt finds nothing to change.
  */
 export async function editDocument(
   platform: PlatformApi,
@@ -27,8 +27,8 @@
   attempt = 1,
 ): Promise<EditOutcome> {
   const outcome = await tryEdit(platform, service, edits);
-  const raced = outcome.kind === 'failed' && isWorthRepeating(outcome.error);
-  if (!raced) {
+  const shouldRetry = outcome.kind === 'failed' && isRetryable(outcome.error);
+  if (!shouldRetry) {
     return outcome;
   }
   if (attempt < maxAttempts) {
@@ -37,7 +37,7 @@
   return outcome.error.kind === 'conflict' ? { kind: 'lost-race', attempts: attempt } : outcome;
 }
 
-function isWorthRepeating(error: PlatformError): boolean {
+function isRetryable(error: PlatformError): boolean {
   return error.kind === 'conflict' || error.kind === 'unknown-outcome';
 }
 
--- a/packages/ctl/src/editText.ts
+++ b/packages/ctl/src/editText.ts
@@ -1,23 +1,23 @@
 /**
- * Edits of a document's lists that keep the author's text. Only the section that changes is printed
- * anew, with its comments; the text around it stays as it is, byte for byte.
+ * Edits lists of a document and keeps the text of its author. Only the section that changes is printed again, with its
+ * comments; the text around it stays the same, byte for byte.
  */
 import { isDeepStrictEqual } from 'node:util';
 import { isMap, isNode, isScalar, isSeq, parseDocument, Document, type Pair } from 'yaml';
 import type { DocumentValue } from './documentObject';
 
-/** Adds a text to a list of the document, or removes it; without effect where it is so already. */
+/** Adds an item to a list of the document or removes it; no effect if the list is already as requested. */
 export interface ListEdit {
-  /** Such as `['drain', 'instances']`. */
+  /** Path of the list, such as `['drain', 'instances']`. */
   path: readonly [section: string, list: string];
   action: 'add' | 'remove';
   item: string;
 }
 
-/** Lines are not folded: a folded text would differ from the author's in places nobody edited. */
+/** No line folding, because it would change lines that nobody edited. */
 const printOptions = { lineWidth: 0 };
 
-/** The edited value, or `undefined` where nothing had to change. */
+/** The edited value, or `undefined` if nothing had to change. */
 export function editText(
   value: DocumentValue,
   edits: readonly ListEdit[],
@@ -35,13 +35,14 @@
     return `${JSON.stringify(document.toJS(), null, 2)}\n`;
   }
   const spliced = spliceSection(text, document, edit.path[0]);
-  // Rare layouts, such as a document in braces, cannot be spliced; their meaning comes first.
+  // Rare layouts, such as a document in braces, cannot be spliced. Then the whole document is printed
+  // again, because its content matters more than its layout.
   return isDeepStrictEqual(parseDocument(spliced).toJS(), document.toJS())
     ? spliced
     : document.toString(printOptions);
 }
 
-/** Whether the list had to change. */
+/** Edits the list in place; returns whether it had to change. */
 function editList(document: Document, { path, action, item }: ListEdit): boolean {
   const list = document.getIn(path, true);
   const items: unknown[] = isSeq(list) ? list.toJSON() : [];
@@ -64,27 +65,27 @@
   return true;
 }
 
-/** The text with one section printed anew, or with the section at its end where it is new. */
+/** Replaces one section of the text by its edited form; a new section is appended. */
 function spliceSection(text: string, edited: Document, section: string): string {
   const printed = printSection(edited, section);
   const range = rangeOf(findPair(parseDocument(text), section));
   if (range === undefined) {
     return `${text}${text.endsWith('\n') ? '' : '\n'}${printed}`;
   }
-  const endsLine = text[range.end - 1] === '\n';
-  const body = endsLine ? printed : printed.trimEnd();
-  return `${text.slice(0, range.start)}${body}${text.slice(range.end)}`;
+  const endsWithNewline = text[range.end - 1] === '\n';
+  const replacement = endsWithNewline ? printed : printed.trimEnd();
+  return `${text.slice(0, range.start)}${replacement}${text.slice(range.end)}`;
 }
 
-/** Comments before the section and behind its last line lie outside of the range that is replaced. */
+/** Comments before the section and after its last line are outside the range that is replaced. */
 function printSection(document: Document, section: string): string {
   const value = findPair(document, section)?.value;
   if (isNode(value)) {
     value.comment = null;
   }
-  const part = new Document({});
-  part.set(section, value);
-  return part.toString(printOptions);
+  const sectionDocument = new Document({});
+  sectionDocument.set(section, value);
+  return sectionDocument.toString(printOptions);
 }
 
 function findPair(document: Document, section: string): Pair | undefined {
@@ -94,7 +95,7 @@
     : undefined;
 }
 
-/** From the section's name to the end of its value. */
+/** The range from the name of the section to the end of its value. */
 function rangeOf(pair: Pair | undefined): { start: number; end: number } | undefined {
   const start = isNode(pair?.key) ? pair.key.range?.[0] : undefined;
   const end = isNode(pair?.value) ? pair.value.range?.[1] : undefined;
--- a/packages/ctl/src/exitCodes.ts
+++ b/packages/ctl/src/exitCodes.ts
@@ -1,15 +1,15 @@
-/** Exit codes of `bluebellctl`, so that scripts can tell why a verb failed. */
+/** Exit codes of `bluebellctl`; scripts can tell from them why a verb failed. */
 import type { PlatformError } from '@bluebellhitch/objects';
 import { assertNever } from '@bluebellhitch/shared';
 
 export const ctlExitCodes = {
   ok: 0,
-  /** The verb could not do its work, such as an unknown service. */
+  /** The verb failed, for example because the service is unknown. */
   failure: 1,
   invalidArguments: 2,
   /** A document has findings. */
   findings: 3,
-  /** Somebody else changed the document in between. */
+  /** Somebody else changed the document in the meantime. */
   lostRace: 4,
   platformUnavailable: 5,
 } as const;
@@ -31,21 +31,21 @@
   }
 }
 
-/** One sentence for operators. */
+/** Error message for operators. */
 export function describePlatformError(error: PlatformError): string {
   switch (error.kind) {
     case 'conflict':
-      return 'the object was changed in between';
+      return 'the object was changed in the meantime';
     case 'not-found':
       return 'not found on the platform';
     case 'rejected':
       return `the platform refused: ${error.detail}`;
     case 'rate-limited':
-      return `the platform asks to wait ${error.retryAfterMs} ms`;
+      return `the platform limits the request rate; retry after ${error.retryAfterMs} ms`;
     case 'unavailable':
       return `the platform is unavailable, and nothing was changed: ${error.detail}`;
     case 'unknown-outcome':
-      return `the platform's answer was lost, and the change may have been made: ${error.detail}`;
+      return `the response of the platform was lost, and the change may have been made: ${error.detail}`;
     default:
       return assertNever(error);
   }
--- a/packages/ctl/src/index.ts
+++ b/packages/ctl/src/index.ts
@@ -1,11 +1,11 @@
 export { ctlExitCodes, type CtlExitCode } from './exitCodes';
 export {
-  colourPaint,
-  plainPaint,
+  colourStyles,
+  plainStyles,
   printReport,
   type AdminError,
   type CtlIo,
-  type Paint,
+  type TextStyles,
   type Report,
 } from './ctlIo';
 export { createProcessIo } from './processIo';
--- a/packages/ctl/src/localDocument.ts
+++ b/packages/ctl/src/localDocument.ts
@@ -1,12 +1,12 @@
-/** Documents in files, read and checked. */
+/** Reads and validates documents in local files. */
 import { formatOf, parseDocument, type ServiceDocument } from '@bluebellhitch/document';
 import type { Finding } from '@bluebellhitch/shared';
 import { splitVersionNote } from './baseVersion';
 import type { CtlIo } from './ctlIo';
 import type { DocumentValue } from './documentObject';
-import { countOf, renderFinding } from './render';
+import { formatCount, renderFinding } from './render';
 
-/** A file: readable or not, with or without a valid document. */
+/** The result of reading and validating one file. */
 export type LocalDocument =
   | { kind: 'unreadable'; file: string; detail: string }
   | { kind: 'invalid'; file: string; findings: Finding[] }
@@ -17,8 +17,8 @@
   file: string;
   value: DocumentValue;
   document: ServiceDocument;
-  remarks: Finding[];
-  /** Noted in the file by `get`. */
+  warnings: Finding[];
+  /** From the version note that `get` wrote into the file. */
   baseVersion?: number;
 }
 
@@ -36,13 +36,13 @@
       file,
       value: { text, format },
       document,
-      remarks: findings.map((finding) => movedDown(finding, noteLines)),
+      warnings: findings.map((finding) => shiftLine(finding, noteLines)),
       ...(baseVersion === undefined ? {} : { baseVersion }),
     }),
     (findings) => ({
       kind: 'invalid',
       file,
-      findings: findings.map((finding) => movedDown(finding, noteLines)),
+      findings: findings.map((finding) => shiftLine(finding, noteLines)),
     }),
   );
 }
@@ -51,27 +51,27 @@
   return local.kind === 'valid';
 }
 
-/** Lines about one file for people. */
+/** Lines of the text output about one file. */
 export function describeLocal(io: CtlIo, local: LocalDocument): string[] {
   switch (local.kind) {
     case 'unreadable':
-      return [io.paint.bad(`${local.file}: cannot be read: ${local.detail}`)];
+      return [io.styles.failure(`${local.file}: cannot be read: ${local.detail}`)];
     case 'invalid':
       return [
         ...local.findings.map((finding) => renderFinding(local.file, finding)),
-        io.paint.bad(`${local.file}: ${countOf(local.findings.length, 'finding')}`),
+        io.styles.failure(`${local.file}: ${formatCount(local.findings.length, 'finding')}`),
       ];
     case 'valid':
       return [
-        ...local.remarks.map((remark) => `${renderFinding(local.file, remark)} [remark]`),
-        io.paint.good(`${local.file}: ${local.document.service} is valid`),
+        ...local.warnings.map((warning) => `${renderFinding(local.file, warning)} [warning]`),
+        io.styles.success(`${local.file}: ${local.document.service} is valid`),
       ];
     default:
       return local satisfies never;
   }
 }
 
-/** The JSON form of one file. */
+/** Fields of the JSON output about one file. */
 export function localData(local: LocalDocument): Record<string, unknown> {
   switch (local.kind) {
     case 'unreadable':
@@ -79,14 +79,14 @@
     case 'invalid':
       return { file: local.file, state: 'invalid', findings: local.findings };
     case 'valid': {
-      const { file, document, remarks } = local;
-      return { file, state: 'valid', service: document.service, findings: remarks };
+      const { file, document, warnings } = local;
+      return { file, state: 'valid', service: document.service, findings: warnings };
     }
     default:
       return local satisfies never;
   }
 }
 
-function movedDown(finding: Finding, lines: number): Finding {
-  return finding.line === undefined ? finding : { ...finding, line: finding.line + lines };
+function shiftLine(finding: Finding, lineCount: number): Finding {
+  return finding.line === undefined ? finding : { ...finding, line: finding.line + lineCount };
 }
--- a/packages/ctl/src/processIo.ts
+++ b/packages/ctl/src/processIo.ts
@@ -1,19 +1,19 @@
-/** The real output, files and network of the `bluebellctl` process. */
+/** I/O of the `bluebellctl` process: standard streams, files and network. */
 import { readFile } from 'node:fs/promises';
 import { text } from 'node:stream/consumers';
 import { err, ok, type Result } from 'neverthrow';
 import { request } from 'undici';
 import { delay } from '@bluebellhitch/shared';
-import { colourPaint, plainPaint, type AdminError, type CtlIo } from './ctlIo';
+import { colourStyles, plainStyles, type AdminError, type CtlIo } from './ctlIo';
 
 const adminTimeoutMs = 2000;
 const notFoundStatus = 404;
 
 export function createProcessIo(): CtlIo {
-  const hasColours = process.stdout.isTTY === true && process.env.NO_COLOR === undefined;
+  const usesColours = process.stdout.isTTY === true && process.env.NO_COLOR === undefined;
   return {
     json: false,
-    paint: hasColours ? colourPaint : plainPaint,
+    styles: usesColours ? colourStyles : plainStyles,
     writeOutput: (output) => {
       process.stdout.write(output);
     },
--- a/packages/ctl/src/render.ts
+++ b/packages/ctl/src/render.ts
@@ -1,27 +1,27 @@
-/** Text forms of findings, changes and tables for people. */
+/** Renders findings, changes and tables as text. */
 import type { DocumentChange } from '@bluebellhitch/document';
 import type { Finding } from '@bluebellhitch/shared';
-import type { Paint } from './ctlIo';
+import type { TextStyles } from './ctlIo';
 
-/** `file:line:column: field: message (hint)`, which editors and terminals make clickable. */
+/** `file:line:column: field: message (hint)`; editors and terminals make this format clickable. */
 export function renderFinding(fileName: string, finding: Finding): string {
-  const place = [fileName, finding.line, finding.column].filter((part) => part !== undefined);
+  const location = [fileName, finding.line, finding.column].filter((part) => part !== undefined);
   const hint = finding.hint === undefined ? '' : ` (${finding.hint})`;
-  return `${place.join(':')}: ${finding.path}: ${finding.message}${hint}`;
+  return `${location.join(':')}: ${finding.path}: ${finding.message}${hint}`;
 }
 
-/** `+` new, `-` gone, `~` changed. */
-export function renderChange(paint: Paint, { path, before, after }: DocumentChange): string {
+/** `+` added, `-` removed, `~` changed. */
+export function renderChange(styles: TextStyles, { path, before, after }: DocumentChange): string {
   if (before === undefined) {
-    return paint.good(`+ ${path}: ${JSON.stringify(after)}`);
+    return styles.success(`+ ${path}: ${JSON.stringify(after)}`);
   }
   if (after === undefined) {
-    return paint.bad(`- ${path}: ${JSON.stringify(before)}`);
+    return styles.failure(`- ${path}: ${JSON.stringify(before)}`);
   }
   return `~ ${path}: ${JSON.stringify(before)} -> ${JSON.stringify(after)}`;
 }
 
-/** Left-aligned columns under their headings. */
+/** Left-aligned columns below their headings. */
 export function renderTable(headings: readonly string[], rows: readonly string[][]): string[] {
   const widths = headings.map((heading, column) =>
     Math.max(heading.length, ...rows.map((row) => row[column]?.length ?? 0)),
@@ -39,6 +39,6 @@
 }
 
 /** `1 finding`, `2 findings`. */
-export function countOf(count: number, noun: string): string {
+export function formatCount(count: number, noun: string): string {
   return `${count} ${noun}${count === 1 ? '' : 's'}`;
 }
--- a/packages/ctl/src/runCtl.ts
+++ b/packages/ctl/src/runCtl.ts
@@ -63,7 +63,7 @@
     return printUsageFindings(io, [
       {
         path: '--platform-url (BLUEBELL_PLATFORM_URL)',
-        message: `${verb} needs the platform's address`,
+        message: `${verb} needs the address of the platform`,
       },
     ]);
   }
@@ -85,7 +85,7 @@
     case 'diff':
       return runDiff(platform, io, first ?? '');
     case 'apply':
-      return runApplyOf(options);
+      return runApplyCommand(options);
     case 'get':
       return runGet(platform, io, first ?? '');
     case 'list':
@@ -98,22 +98,27 @@
       return runDrain(platform, io, { instanceId: first ?? '', action: verb, service });
     }
     case 'quarantine':
-      return runQuarantineOf(options);
+      return runQuarantineCommand(options);
     default:
       return verb satisfies never;
   }
 }
 
-function runApplyOf({ platform, io, args, flags }: PlatformVerbOptions): Promise<CtlExitCode> {
+function runApplyCommand({ platform, io, args, flags }: PlatformVerbOptions): Promise<CtlExitCode> {
   const { baseVersion, waitMs } = flags;
   if (baseVersion !== undefined && args.length > 1) {
-    const message = 'goes with one file, because versions belong to single documents';
+    const message = 'can be used with one file only, because each document has its own version';
     return Promise.resolve(printUsageFindings(io, [{ path: '--base-version', message }]));
   }
   return runApply(platform, io, { files: args, baseVersion, waitMs });
 }
 
-function runQuarantineOf({ platform, io, args, flags }: PlatformVerbOptions): Promise<CtlExitCode> {
+function runQuarantineCommand({
+  platform,
+  io,
+  args,
+  flags,
+}: PlatformVerbOptions): Promise<CtlExitCode> {
   const [action, fingerprint] = args;
   const { service } = flags;
   if (action === 'list' && fingerprint === undefined) {
@@ -122,7 +127,7 @@
   if ((action === 'release' || action === 'block') && fingerprint !== undefined) {
     return runQuarantineEdit(platform, io, { action, fingerprint, service });
   }
-  const message = 'takes list, release FINGERPRINT or block FINGERPRINT';
+  const message = 'expects list, release FINGERPRINT or block FINGERPRINT';
   return Promise.resolve(printUsageFindings(io, [{ path: 'quarantine', message }]));
 }
 
--- a/packages/ctl/src/serviceReport.ts
+++ b/packages/ctl/src/serviceReport.ts
@@ -1,30 +1,30 @@
-/** The status of one service, for people and as data. */
+/** The status of one service, as text and as JSON data. */
 import type { ServiceStatus } from '@bluebellhitch/duties';
 import type { AcceptedDocument } from '@bluebellhitch/document';
 import type { PlatformInstance } from '@bluebellhitch/objects';
-import type { AskedProcess } from './adminPorts';
-import type { Paint } from './ctlIo';
-import { countOf, indent, renderFinding } from './render';
+import type { QueriedProcess } from './adminPorts';
+import type { TextStyles } from './ctlIo';
+import { formatCount, indent, renderFinding } from './render';
 import type { QuarantineEntry } from './serviceState';
 
-/** All that is shown about one service. */
+/** What is shown about one service. */
 export interface ServiceView {
   service: string;
-  /** Version of the operators' text; absent where there is none. */
+  /** Version of the document that operators wrote; absent if there is none. */
   documentVersion?: number;
   status?: ServiceStatus;
   accepted?: AcceptedDocument;
   quarantine: QuarantineEntry[];
 }
 
-/** What does not belong to a single service. */
+/** State of the fleet that is shared by all services. */
 export interface FleetView {
   instances: PlatformInstance[];
-  processes: AskedProcess[];
+  processes: QueriedProcess[];
 }
 
-/** What one process has in force; `generation` is absent where it does not know the service. */
-interface InForce {
+/** The generation that is active in one process; absent if the process does not know the service. */
+interface ActiveGeneration {
   instanceId: string;
   dataCentre: string;
   generation?: number;
@@ -43,19 +43,19 @@
     acceptedVersion: accepted?.documentVersion,
     drains: drainsOf(view, fleet),
     quarantine,
-    inForce: inForceOf(service, fleet.processes),
+    inForce: activeGenerationsOf(service, fleet.processes),
     silentProcesses: fleet.processes.filter(({ kind }) => kind === 'silent'),
   };
 }
 
-export function describeService(paint: Paint, view: ServiceView, fleet: FleetView): string[] {
+export function describeService(styles: TextStyles, view: ServiceView, fleet: FleetView): string[] {
   return [
-    paint.strong(view.service),
+    styles.bold(view.service),
     ...indent([
-      describeEdit(paint, view),
+      describeDocument(styles, view),
       ...(view.status?.findings ?? []).map((finding) => renderFinding(view.service, finding)),
       describeAccepted(view),
-      ...describeInForce(paint, view, fleet),
+      ...describeActiveGenerations(styles, view, fleet),
       ...describeDrains(view, fleet),
       ...view.quarantine.map((entry) => `quarantine: ${describeQuarantineEntry(entry)}`),
     ]),
@@ -67,31 +67,32 @@
   verdict,
   instanceIds,
 }: QuarantineEntry): string {
-  const under = instanceIds.length === 0 ? '' : `, died under it: ${instanceIds.join(', ')}`;
+  const crashed =
+    instanceIds.length === 0 ? '' : `, crashed while running it: ${instanceIds.join(', ')}`;
   switch (verdict.kind) {
     case 'clear':
       return `${fingerprint} is clear`;
     case 'struck':
-      return `${fingerprint} runs apart after ${countOf(verdict.strikeCount, 'strike')}${under}`;
+      return `${fingerprint} is isolated from other struck requests after ${formatCount(verdict.strikeCount, 'strike')}${crashed}`;
     case 'quarantined': {
       const seconds = Math.ceil(verdict.retryAfterMs / 1000);
-      const strikes = countOf(verdict.strikeCount, 'strike');
-      return `${fingerprint} is refused for ${seconds} s more after ${strikes}${under}`;
+      const strikes = formatCount(verdict.strikeCount, 'strike');
+      return `${fingerprint} is refused for ${seconds} s more after ${strikes}${crashed}`;
     }
     case 'blocked':
-      return `${fingerprint} is refused until the document unblocks it${under}`;
+      return `${fingerprint} is refused until the document unblocks it${crashed}`;
     default:
       return verdict satisfies never;
   }
 }
 
-function describeEdit(paint: Paint, { documentVersion, status }: ServiceView): string {
+function describeDocument(styles: TextStyles, { documentVersion, status }: ServiceView): string {
   if (status === undefined || status.documentVersion < (documentVersion ?? 0)) {
-    return `document: version ${documentVersion} awaits its verdict`;
+    return `document: version ${documentVersion} is not accepted or rejected yet`;
   }
   return status.state === 'accepted'
-    ? `document: version ${status.documentVersion} was ${paint.good('accepted')}`
-    : `document: version ${status.documentVersion} was ${paint.bad('rejected')}`;
+    ? `document: version ${status.documentVersion} was ${styles.success('accepted')}`
+    : `document: version ${status.documentVersion} was ${styles.failure('rejected')}`;
 }
 
 function describeAccepted({ accepted }: ServiceView): string {
@@ -101,23 +102,27 @@
         `${accepted.documentVersion} at ${accepted.acceptedAt}`;
 }
 
-function describeInForce(paint: Paint, view: ServiceView, { processes }: FleetView): string[] {
+function describeActiveGenerations(
+  styles: TextStyles,
+  view: ServiceView,
+  { processes }: FleetView,
+): string[] {
   if (processes.length === 0) {
-    return ['in force: no process was asked; name their admin ports with --admin'];
+    return ['in force: no admin port is known; name those of the processes with --admin'];
   }
-  const knowing = inForceOf(view.service, processes).filter(
+  const active = activeGenerationsOf(view.service, processes).filter(
     ({ generation }) => generation !== undefined,
   );
-  const current = knowing.filter(({ generation }) => generation === view.accepted?.generation);
-  const others = knowing.filter(({ generation }) => generation !== view.accepted?.generation);
+  const current = active.filter(({ generation }) => generation === view.accepted?.generation);
+  const others = active.filter(({ generation }) => generation !== view.accepted?.generation);
   const silent = processes.flatMap((process) => (process.kind === 'silent' ? [process] : []));
   return [
-    `in force: at ${current.length} of ${knowing.length} that answered and know the service`,
+    `in force: at ${current.length} of ${active.length} processes that answered and know the service`,
     ...indent([
       ...others.map(({ instanceId, dataCentre, generation }) =>
-        paint.bad(`${instanceId} in ${dataCentre} has generation ${generation}`),
+        styles.failure(`${instanceId} in ${dataCentre} has generation ${generation}`),
       ),
-      ...silent.map(({ address, detail }) => paint.faint(`${address}: ${detail}`)),
+      ...silent.map(({ address, detail }) => styles.dim(`${address}: ${detail}`)),
     ]),
   ];
 }
@@ -135,7 +140,10 @@
   return instances.find(({ id }) => id === instanceId)?.state ?? 'not in the instance list';
 }
 
-function inForceOf(service: string, processes: readonly AskedProcess[]): InForce[] {
+function activeGenerationsOf(
+  service: string,
+  processes: readonly QueriedProcess[],
+): ActiveGeneration[] {
   return processes.flatMap((process) => {
     if (process.kind === 'silent') {
       return [];
--- a/packages/ctl/src/serviceState.ts
+++ b/packages/ctl/src/serviceState.ts
@@ -1,4 +1,4 @@
-/** What the platform says about a service: its status, accepted generation and quarantines. */
+/** Reads the state of a service from the platform: its status, accepted generation and quarantines. */
 import { errAsync, okAsync, type ResultAsync } from 'neverthrow';
 import * as z from 'zod';
 import {
@@ -25,7 +25,7 @@
 });
 export type QuarantineRecord = z.infer<typeof quarantineRecordSchema>;
 
-/** `undefined` where no status was written yet or its form is unknown. */
+/** `undefined` if no status was written yet or its format is unknown. */
 export function findStatus(
   platform: PlatformApi,
   service: string,
@@ -33,7 +33,7 @@
   return findValue(platform, objectKinds.status, service, serviceStatusSchema);
 }
 
-/** `undefined` where nothing was accepted yet or its form is unknown. */
+/** `undefined` if nothing was accepted yet or its format is unknown. */
 export function findAccepted(
   platform: PlatformApi,
   service: string,
@@ -52,24 +52,24 @@
   );
 }
 
-/** A fingerprint that requests are refused or watched for. */
+/** A fingerprint whose requests are refused, or kept apart from each other because they have strikes. */
 export interface QuarantineEntry {
   service: string;
   fingerprint: string;
   verdict: QuarantineVerdict;
-  /** Backend servers that died under it. */
+  /** Backend servers that crashed while they ran a request with this fingerprint. */
   instanceIds: string[];
 }
 
-/** Judged as entries do: by the strikes on the platform and the policy of the accepted document. */
-export function judgeQuarantine(
+/** Evaluates strikes on the platform by the policy of the accepted document, as the entries do. */
+export function evaluateQuarantine(
   { service, quarantine: policy }: ServiceDocument,
   records: readonly QuarantineRecord[],
   nowEpochMs: number,
 ): QuarantineEntry[] {
-  const judge = createQuarantine();
+  const quarantine = createQuarantine();
   const ofService = records.filter((record) => record.service === service);
-  ofService.forEach((record) => judge.merge(record, nowEpochMs));
+  ofService.forEach((record) => quarantine.merge(record, nowEpochMs));
   const fingerprints = new Set([
     ...ofService.map(({ fingerprint }) => fingerprint),
     ...policy.block,
@@ -78,13 +78,13 @@
     .map((fingerprint) => ({
       service,
       fingerprint,
-      verdict: judge.verdict({ service, fingerprint, policy, nowEpochMs }),
-      instanceIds: instancesUnder(fingerprint, ofService),
+      verdict: quarantine.verdict({ service, fingerprint, policy, nowEpochMs }),
+      instanceIds: instancesCrashedBy(fingerprint, ofService),
     }))
     .filter(({ verdict }) => verdict.kind !== 'clear');
 }
 
-function instancesUnder(fingerprint: string, records: readonly QuarantineRecord[]): string[] {
+function instancesCrashedBy(fingerprint: string, records: readonly QuarantineRecord[]): string[] {
   const strikes = records.find((record) => record.fingerprint === fingerprint)?.strikes ?? [];
   return [...new Set(strikes.map(({ instanceId }) => instanceId))];
 }
--- a/packages/ctl/src/storedDiff.ts
+++ b/packages/ctl/src/storedDiff.ts
@@ -1,4 +1,4 @@
-/** Differences between texts of documents, either of which may be invalid. */
+/** Compares texts of documents by their fields; either text may be invalid. */
 import {
   diffDocuments,
   parseDocument,
@@ -7,7 +7,7 @@
 } from '@bluebellhitch/document';
 import type { StoredDocument } from './documentObject';
 
-/** `undefined` where the stored text has findings, so that it cannot be compared by fields. */
+/** `undefined` if the stored text has findings and so cannot be compared by fields. */
 export function changesFromStored(
   stored: StoredDocument | undefined,
   document: ServiceDocument,
@@ -20,7 +20,7 @@
     .unwrapOr<DocumentChange[] | undefined>(undefined);
 }
 
-/** Changes from one stored text to another. */
+/** Changes from one stored text to another; `undefined` if either cannot be compared by fields. */
 export function changesBetweenStored(
   before: StoredDocument,
   after: StoredDocument,
--- a/packages/ctl/src/verbHelp.ts
+++ b/packages/ctl/src/verbHelp.ts
@@ -5,19 +5,19 @@
   summary: string;
   minArgs: number;
   maxArgs: number;
-  /** Further lines of the verb's own help. */
+  /** Additional lines in the help of the verb. */
   details?: readonly string[];
 }
 
-const anyNumber = Number.POSITIVE_INFINITY;
+const unlimited = Number.POSITIVE_INFINITY;
 
 export const verbs = {
   validate: {
     usage: 'validate FILE...',
     summary: 'Check documents; needs no connection.',
     minArgs: 1,
-    maxArgs: anyNumber,
-    details: ['A file named - is standard input. Exit code 3 where a document has findings.'],
+    maxArgs: unlimited,
+    details: ['Reads standard input if the file is -. Exit code 3 if a document has findings.'],
   },
   diff: {
     usage: 'diff FILE',
@@ -27,14 +27,14 @@
   },
   apply: {
     usage: 'apply FILE... [--base-version N] [--wait-ms MS]',
-    summary: 'Write documents, unless somebody else wrote first.',
+    summary: 'Write documents, unless somebody else has changed them in the meantime.',
     minArgs: 1,
-    maxArgs: anyNumber,
+    maxArgs: unlimited,
     details: [
       'Nothing is written unless all documents are valid.',
-      '--base-version N  write only over this version; default: the one that `get` noted in the file,',
-      '                  else the version that is there when the command starts',
-      '--wait-ms MS      wait for the verdict; exit code 3 where the edit was rejected, 1 where none came',
+      '--base-version N  overwrite only this version; default: the one that `get` noted in the file,',
+      '                  otherwise the current version when the command starts',
+      '--wait-ms MS      wait until the edit is accepted (exit code 0) or rejected (3); 1 if neither in time',
     ],
   },
   get: {
@@ -46,27 +46,28 @@
   list: { usage: 'list', summary: 'List all documents.', minArgs: 0, maxArgs: 0 },
   status: {
     usage: 'status [SERVICE] [--admin URL]...',
-    summary: 'Show the verdict on the last edit, what is in force where, drains and quarantines.',
+    summary:
+      'Show whether the last edit was accepted, the active generations, drains and quarantines.',
     minArgs: 0,
     maxArgs: 1,
-    details: ['--admin URL  admin port of a process to ask, http://ip:port; may be repeated'],
+    details: ['--admin URL  admin port of a process to query, http://ip:port; may be repeated'],
   },
   explain: {
     usage: 'explain REQUEST-ID [--admin URL]...',
-    summary: 'Tell what was decided about a request, and why.',
+    summary: 'Show the decisions about a request, and their reasons.',
     minArgs: 1,
     maxArgs: 1,
-    details: ['--admin URL  admin port of an entry to ask, http://ip:port; may be repeated'],
+    details: ['--admin URL  admin port of an entry to query, http://ip:port; may be repeated'],
   },
   drain: {
     usage: 'drain INSTANCE [--service SERVICE]',
-    summary: 'Give an instance no new work, by an edit of its service document.',
+    summary: 'Send no new work to an instance, by an edit of its service document.',
     minArgs: 1,
     maxArgs: 1,
   },
   undrain: {
     usage: 'undrain INSTANCE [--service SERVICE]',
-    summary: 'Give a drained instance work again.',
+    summary: 'Send new work to a drained instance again.',
     minArgs: 1,
     maxArgs: 1,
   },
--- a/packages/ctl/src/verbs/applyVerb.ts
+++ b/packages/ctl/src/verbs/applyVerb.ts
@@ -1,4 +1,4 @@
-/** `bluebellctl apply`: writes documents conditionally, all of them valid or none written. */
+/** `bluebellctl apply`: writes documents conditionally, and only if all of them are valid. */
 import type { ServiceStatus } from '@bluebellhitch/duties';
 import type { PlatformApi } from '@bluebellhitch/objects';
 import { monotonicNowMs } from '@bluebellhitch/shared';
@@ -12,23 +12,23 @@
   readLocalDocument,
   type ValidDocument,
 } from '../localDocument';
-import { countOf, indent, renderFinding } from '../render';
+import { formatCount, indent, renderFinding } from '../render';
 import { findStatus } from '../serviceState';
 import { describeChanges } from './diffVerb';
 import { exitCodeOfLocals } from './validateVerb';
 
 export interface ApplyVerbOptions {
   files: readonly string[];
-  /** Overrides the version noted in the file. */
+  /** Overrides the version note in the file. */
   baseVersion?: number;
-  /** How long to wait for the verdict on the edit; 0 does not wait. */
+  /** How long to wait until the edit is accepted or rejected; 0 does not wait. */
   waitMs: number;
 }
 
 interface AppliedDocument {
   local: ValidDocument;
   outcome: ApplyOutcome;
-  /** The verdict on this edit, where it was waited for and came. */
+  /** Whether the edit was accepted; absent if this was not waited for or not known in time. */
   status?: ServiceStatus;
   exitCode: CtlExitCode;
 }
@@ -79,20 +79,20 @@
     return { local, outcome, exitCode: exitCodeOfOutcome(outcome) };
   }
   const { service } = local.document;
-  const status = await awaitVerdict(platform, io, { service, version: outcome.version, waitMs });
-  return { local, outcome, status, exitCode: exitCodeOfVerdict(status) };
+  const status = await waitForStatus(platform, io, { service, version: outcome.version, waitMs });
+  return { local, outcome, status, exitCode: exitCodeOfStatus(status) };
 }
 
-interface AwaitVerdictOptions {
+interface WaitForStatusOptions {
   service: string;
   version: number;
   waitMs: number;
 }
 
-async function awaitVerdict(
+async function waitForStatus(
   platform: PlatformApi,
   io: CtlIo,
-  { service, version, waitMs }: AwaitVerdictOptions,
+  { service, version, waitMs }: WaitForStatusOptions,
 ): Promise<ServiceStatus | undefined> {
   const deadlineMs = monotonicNowMs() + waitMs;
   while (monotonicNowMs() < deadlineMs) {
@@ -119,7 +119,7 @@
   }
 }
 
-function exitCodeOfVerdict(status: ServiceStatus | undefined): CtlExitCode {
+function exitCodeOfStatus(status: ServiceStatus | undefined): CtlExitCode {
   if (status === undefined) {
     return ctlExitCodes.failure;
   }
@@ -138,23 +138,23 @@
 
 function describeApplied(io: CtlIo, applied: AppliedDocument): string[] {
   const { local, outcome } = applied;
-  const name = io.paint.strong(local.document.service);
+  const name = io.styles.bold(local.document.service);
   switch (outcome.kind) {
     case 'written':
       return [
         `${name}: written as version ${outcome.version}`,
         ...indent(describeChanges(io, outcome.changes)),
-        ...describeVerdict(io, applied),
+        ...describeStatus(io, applied),
       ];
     case 'unchanged':
-      return [`${name}: version ${outcome.version} says so already`];
+      return [`${name}: version ${outcome.version} already has this text`];
     case 'lost-race':
       return [
-        io.paint.bad(`${name}: ${describeRace(outcome)}`),
+        io.styles.failure(`${name}: ${describeRace(outcome)}`),
         ...describeRaceChanges(io, outcome),
       ];
     case 'failed':
-      return [io.paint.bad(`${name}: ${describePlatformError(outcome.error)}`)];
+      return [io.styles.failure(`${name}: ${describePlatformError(outcome.error)}`)];
     default:
       return outcome satisfies never;
   }
@@ -163,7 +163,7 @@
 function describeRace({ baseVersion, currentVersion }: LostRace): string {
   return (
     `not written: made from version ${baseVersion}, but the platform has ${currentVersion}. ` +
-    'Get the current document, and make the edit again'
+    'Get the current document and repeat the edit'
   );
 }
 
@@ -173,22 +173,22 @@
         '  differences from the current document to the file:',
         ...indent(describeChanges(io, race.changesNow)),
       ]
-    : ['  changed in between:', ...indent(describeChanges(io, race.changedInBetween))];
+    : ['  changed in the meantime:', ...indent(describeChanges(io, race.changedInBetween))];
 }
 
-function describeVerdict(io: CtlIo, { local, outcome, status }: AppliedDocument): string[] {
+function describeStatus(io: CtlIo, { local, outcome, status }: AppliedDocument): string[] {
   if (status === undefined) {
-    return [`  not judged yet: see bluebellctl status ${local.document.service}`];
+    return [`  not accepted or rejected yet: see bluebellctl status ${local.document.service}`];
   }
   const findings = indent(status.findings.map((finding) => renderFinding(local.file, finding)));
   if (status.state === 'accepted') {
-    return [io.paint.good(`  accepted as generation ${status.generation}`), ...findings];
+    return [io.styles.success(`  accepted as generation ${status.generation}`), ...findings];
   }
   const version = outcome.kind === 'written' ? outcome.version : status.documentVersion;
   return [
     ...findings,
-    io.paint.bad(
-      `  version ${version} was rejected with ${countOf(status.findings.length, 'finding')}; ` +
+    io.styles.failure(
+      `  version ${version} was rejected with ${formatCount(status.findings.length, 'finding')}; ` +
         `generation ${status.generation} stays in force`,
     ),
   ];
--- a/packages/ctl/src/verbs/diffVerb.ts
+++ b/packages/ctl/src/verbs/diffVerb.ts
@@ -30,7 +30,7 @@
     exitCode: ctlExitCodes.ok,
     data: { service, version, comparable: changes !== undefined, changes: changes ?? [] },
     lines: [
-      `${io.paint.strong(service)}: ${file} against version ${version} on the platform`,
+      `${io.styles.bold(service)}: ${file} against version ${version} on the platform`,
       ...describeChanges(io, changes),
     ],
   });
@@ -44,6 +44,6 @@
     return ['the text on the platform has findings and cannot be compared'];
   }
   return changes.length === 0
-    ? ['no field differs']
-    : changes.map((change) => renderChange(io.paint, change));
+    ? ['no differences']
+    : changes.map((change) => renderChange(io.styles, change));
 }
--- a/packages/ctl/src/verbs/drainVerb.ts
+++ b/packages/ctl/src/verbs/drainVerb.ts
@@ -6,12 +6,12 @@
 import { listStoredDocuments, type StoredDocument } from '../documentObject';
 import { editDocument } from '../editDocument';
 import { ctlExitCodes, describePlatformError, exitCodeOf, type CtlExitCode } from '../exitCodes';
-import { editReport } from './editVerb';
+import { editReport } from './editReport';
 
 export interface DrainVerbOptions {
   instanceId: string;
   action: 'drain' | 'undrain';
-  /** Absent: found by the list of instances, then by the documents that name the instance. */
+  /** Default: looked up in the list of instances, then in the documents that drain the instance. */
   service?: string;
 }
 
@@ -61,12 +61,12 @@
     );
   }
   return listed?.service === undefined
-    ? findNamingDocument(platform, instanceId)
+    ? findDrainingDocument(platform, instanceId)
     : ok(listed.service);
 }
 
-/** An instance that has gone from the list is still named by the document that drains it. */
-async function findNamingDocument(
+/** Finds an instance that is no longer in the list by the document that drains it. */
+async function findDrainingDocument(
   platform: PlatformApi,
   instanceId: string,
 ): Promise<Result<string, Report>> {
@@ -75,15 +75,15 @@
     const error = describePlatformError(documents.error);
     return err(failureReport(exitCodeOf(documents.error), error));
   }
-  const naming = documents.value.find((stored) => drainsInstance(stored, instanceId));
-  return naming === undefined
+  const draining = documents.value.find((stored) => drainsInstance(stored, instanceId));
+  return draining === undefined
     ? err(
         failureReport(
           ctlExitCodes.invalidArguments,
           `${instanceId} is not in the list of instances: name its service with --service`,
         ),
       )
-    : ok(naming.service);
+    : ok(draining.service);
 }
 
 function drainsInstance({ text, format }: StoredDocument, instanceId: string): boolean {
--- a/packages/ctl/src/verbs/editVerb.ts
+++ b/packages/ctl/src/verbs/editReport.ts
@@ -1,4 +1,4 @@
-/** Prints what became of a conditional edit of a service's document. */
+/** The report on the outcome of a conditional edit of a service document. */
 import type { CtlIo, Report } from '../ctlIo';
 import type { EditOutcome } from '../editDocument';
 import { ctlExitCodes, describePlatformError, exitCodeOf } from '../exitCodes';
@@ -6,13 +6,13 @@
 
 export interface EditReportOptions {
   service: string;
-  /** What the edit says, such as `agent-3 takes no new work`. */
+  /** What the edit states, such as `agent-3 takes no new work`. */
   effect: string;
   outcome: EditOutcome;
 }
 
 export function editReport(io: CtlIo, { service, effect, outcome }: EditReportOptions): Report {
-  const name = io.paint.strong(service);
+  const name = io.styles.bold(service);
   const data = { service, ...outcome };
   switch (outcome.kind) {
     case 'written':
@@ -25,7 +25,7 @@
       return {
         exitCode: ctlExitCodes.ok,
         data,
-        lines: [`${name}: ${effect}, as version ${outcome.version} says already`],
+        lines: [`${name}: ${effect}, as version ${outcome.version} already states`],
       };
     case 'findings':
       return {
@@ -40,7 +40,9 @@
       return {
         exitCode: ctlExitCodes.lostRace,
         data,
-        lines: [`${name}: not written: others changed it each of ${outcome.attempts} times`],
+        lines: [
+          `${name}: not written: others changed it during each of ${outcome.attempts} attempts`,
+        ],
       };
     case 'failed':
       return {
--- a/packages/ctl/src/verbs/explainVerb.ts
+++ b/packages/ctl/src/verbs/explainVerb.ts
@@ -1,8 +1,8 @@
-/** `bluebellctl explain`: the decision record of one request, told as a story. */
+/** `bluebellctl explain`: prints the decision record of one request, step by step. */
 import * as z from 'zod';
 import type { PlatformApi } from '@bluebellhitch/objects';
-import { adminAddresses, askAll } from '../adminPorts';
-import { failureReport, printReport, type CtlIo, type Paint } from '../ctlIo';
+import { adminAddresses, queryAll } from '../adminPorts';
+import { failureReport, printReport, type CtlIo, type TextStyles } from '../ctlIo';
 import { ctlExitCodes, type CtlExitCode } from '../exitCodes';
 import { indent } from '../render';
 
@@ -23,11 +23,11 @@
 export interface ExplainVerbOptions {
   requestId: string;
   adminAddresses: readonly string[];
-  /** Knows the processes where none is named; its outage does not keep named ones from answering. */
+  /** Source of the list of processes. If it is unavailable, the processes given by address are still queried. */
   platform?: PlatformApi;
 }
 
-type Answer =
+type RecordLookup =
   | { kind: 'found'; address: string; record: DecisionRecord }
   | { kind: 'absent'; address: string }
   | { kind: 'silent'; address: string; detail: string };
@@ -40,36 +40,36 @@
     const message = 'no admin port is known: name those of the entries with --admin http://ip:port';
     return printReport(io, failureReport(ctlExitCodes.invalidArguments, message));
   }
-  const answers = await askAll(addresses, (address) => askRecord(io, address, requestId));
-  const found = answers.flatMap((answer) => (answer.kind === 'found' ? [answer] : []));
+  const lookups = await queryAll(addresses, (address) => fetchRecord(io, address, requestId));
+  const found = lookups.flatMap((lookup) => (lookup.kind === 'found' ? [lookup] : []));
   return found.length === 0
-    ? printReport(io, notFoundReport(requestId, answers))
+    ? printReport(io, notFoundReport(requestId, lookups))
     : printReport(io, {
         exitCode: ctlExitCodes.ok,
         data: { records: found.map(({ address, record }) => ({ address, ...record })) },
-        lines: found.flatMap(({ address, record }) => tellStory(io.paint, address, record)),
+        lines: found.flatMap(({ address, record }) => describeRecord(io.styles, address, record)),
       });
 }
 
-async function askRecord(io: CtlIo, address: string, requestId: string): Promise<Answer> {
+async function fetchRecord(io: CtlIo, address: string, requestId: string): Promise<RecordLookup> {
   const path = `/debug/decisions/${encodeURIComponent(requestId)}`;
-  const answer = await io.readAdmin(address, path);
-  if (answer.isErr()) {
-    return answer.error.kind === 'not-found'
+  const response = await io.readAdmin(address, path);
+  if (response.isErr()) {
+    return response.error.kind === 'not-found'
       ? { kind: 'absent', address }
-      : { kind: 'silent', address, detail: answer.error.detail };
+      : { kind: 'silent', address, detail: response.error.detail };
   }
-  const record = decisionRecordSchema.safeParse(answer.value);
+  const record = decisionRecordSchema.safeParse(response.value);
   return record.success
     ? { kind: 'found', address, record: record.data }
-    : { kind: 'silent', address, detail: 'answers in an unknown form' };
+    : { kind: 'silent', address, detail: 'returns the record in an unknown format' };
 }
 
-function notFoundReport(requestId: string, answers: readonly Answer[]) {
-  const silent = answers.flatMap((answer) =>
-    answer.kind === 'silent' ? [`${answer.address}: ${answer.detail}`] : [],
+function notFoundReport(requestId: string, lookups: readonly RecordLookup[]) {
+  const silent = lookups.flatMap((lookup) =>
+    lookup.kind === 'silent' ? [`${lookup.address}: ${lookup.detail}`] : [],
   );
-  const message = `${requestId}: no process that answered has a record of it; each keeps only its latest`;
+  const message = `${requestId}: no process that answered has a record of it; each keeps only its most recent records`;
   return {
     exitCode: ctlExitCodes.failure,
     data: { error: message, silent },
@@ -77,40 +77,43 @@
   };
 }
 
-function tellStory(paint: Paint, address: string, record: DecisionRecord): string[] {
+function describeRecord(styles: TextStyles, address: string, record: DecisionRecord): string[] {
   const { requestId, service, institution, className, startedAt, fingerprint, outcome } = record;
   return [
-    paint.strong(`${requestId}: ${outcome === '' ? 'still running' : outcome}`),
+    styles.bold(`${requestId}: ${outcome === '' ? 'still running' : outcome}`),
     ...indent([
-      `asked of ${service} by ${institution}, class ${className}, at ${startedAt}`,
+      `request to ${service} from ${institution}, class ${className}, at ${startedAt}`,
       `recorded by ${address}`,
       ...(fingerprint === undefined ? [] : [`fingerprint ${fingerprint}`]),
-      ...record.steps.map((step) => tellStep(paint, step)),
+      ...record.steps.map((step) => describeStep(styles, step)),
     ]),
   ];
 }
 
-function tellStep(paint: Paint, { atMs, kind, detail }: DecisionRecord['steps'][number]): string {
+function describeStep(
+  styles: TextStyles,
+  { atMs, kind, detail }: DecisionRecord['steps'][number],
+): string {
   const time = `${atMs.toFixed(1).padStart(9)} ms`;
-  const words = kind.replaceAll('-', ' ');
-  const parts = Object.entries(detail).map(
-    ([name, value]) => `${toWords(name)} ${tellValue(value)}`,
+  const kindWords = kind.replaceAll('-', ' ');
+  const details = Object.entries(detail).map(
+    ([name, value]) => `${toWords(name)} ${formatValue(value)}`,
   );
-  return `${paint.faint(time)}  ${words}${parts.length === 0 ? '' : `: ${parts.join(', ')}`}`;
+  return `${styles.dim(time)}  ${kindWords}${details.length === 0 ? '' : `: ${details.join(', ')}`}`;
 }
 
-/** `usableInMs` reads as `usable in ms`. */
+/** Splits camel case: `usableInMs` becomes `usable in ms`. */
 function toWords(name: string): string {
   return name.replace(/[A-Z]/g, (letter) => ` ${letter.toLowerCase()}`);
 }
 
-function tellValue(value: unknown): string {
+function formatValue(value: unknown): string {
   if (Array.isArray(value)) {
-    return `[${value.map(tellValue).join('; ')}]`;
+    return `[${value.map(formatValue).join('; ')}]`;
   }
   if (typeof value === 'object' && value !== null) {
     return Object.entries(value)
-      .map(([name, inner]) => `${toWords(name)} ${tellValue(inner)}`)
+      .map(([name, inner]) => `${toWords(name)} ${formatValue(inner)}`)
       .join(' ');
   }
   return typeof value === 'number' ? String(Math.round(value * 1000) / 1000) : String(value);
--- a/packages/ctl/src/verbs/getVerb.ts
+++ b/packages/ctl/src/verbs/getVerb.ts
@@ -1,4 +1,4 @@
-/** `bluebellctl get` and `list`: what the platform holds. */
+/** `bluebellctl get` and `list`: print a document and the list of all documents on the platform. */
 import type { PlatformApi } from '@bluebellhitch/objects';
 import { addVersionNote } from '../baseVersion';
 import { failureReport, printReport, type CtlIo } from '../ctlIo';
@@ -6,7 +6,7 @@
 import { ctlExitCodes, describePlatformError, exitCodeOf, type CtlExitCode } from '../exitCodes';
 import { renderTable } from '../render';
 
-/** Prints the text, with a note of its version that `apply` checks. */
+/** Prints the text with a note of its version, which `apply` checks. */
 export async function runGet(
   platform: PlatformApi,
   io: CtlIo,
--- a/packages/ctl/src/verbs/quarantineVerb.ts
+++ b/packages/ctl/src/verbs/quarantineVerb.ts
@@ -1,4 +1,4 @@
-/** `bluebellctl quarantine`: which requests are refused, and edits of the document's lists. */
+/** `bluebellctl quarantine`: lists refused requests, and edits the quarantine lists of a document. */
 import { err, ok, type Result } from 'neverthrow';
 import { acceptedDocumentSchema, type ServiceDocument } from '@bluebellhitch/document';
 import { objectKinds, type PlatformApi, type PlatformError } from '@bluebellhitch/objects';
@@ -7,8 +7,8 @@
 import type { ListEdit } from '../editText';
 import { ctlExitCodes, describePlatformError, exitCodeOf, type CtlExitCode } from '../exitCodes';
 import { describeQuarantineEntry } from '../serviceReport';
-import { judgeQuarantine, listQuarantineRecords, type QuarantineEntry } from '../serviceState';
-import { editReport } from './editVerb';
+import { evaluateQuarantine, listQuarantineRecords, type QuarantineEntry } from '../serviceState';
+import { editReport } from './editReport';
 
 export async function runQuarantineList(
   platform: PlatformApi,
@@ -26,7 +26,7 @@
     data: { quarantine: shown },
     lines:
       shown.length === 0
-        ? ['no request is struck, quarantined or blocked']
+        ? ['no request has strikes or is quarantined or blocked']
         : shown.map((entry) => `${entry.service}: ${describeQuarantineEntry(entry)}`),
   });
 }
@@ -34,7 +34,7 @@
 export interface QuarantineEditOptions {
   action: 'release' | 'block';
   fingerprint: string;
-  /** Absent: the one service that has struck or blocked the fingerprint. */
+  /** Default: the only service in which the fingerprint has strikes or is blocked. */
   service?: string;
 }
 
@@ -81,8 +81,8 @@
 }
 
 function describeChoice(fingerprint: string, services: readonly string[]): string {
-  const where = services.length === 0 ? 'no service' : services.join(', ');
-  return `${fingerprint} is known to ${where}: name the service with --service`;
+  const candidates = services.length === 0 ? 'no service' : services.join(', ');
+  return `${fingerprint} is known to ${candidates}: name the service with --service`;
 }
 
 async function readEntries(
@@ -92,7 +92,7 @@
   const documents = await listAcceptedDocuments(platform);
   return records.andThen((known) =>
     documents.map((accepted) =>
-      accepted.flatMap((document) => judgeQuarantine(document, known, Date.now())),
+      accepted.flatMap((document) => evaluateQuarantine(document, known, Date.now())),
     ),
   );
 }
--- a/packages/ctl/src/verbs/statusVerb.ts
+++ b/packages/ctl/src/verbs/statusVerb.ts
@@ -1,7 +1,7 @@
-/** `bluebellctl status`: what became of the last edit, and what is in force where. */
+/** `bluebellctl status`: whether the last edit was accepted, and which generation each process uses. */
 import { err, ok, Result } from 'neverthrow';
 import { objectKinds, type PlatformApi, type PlatformError } from '@bluebellhitch/objects';
-import { adminAddresses, askConfigs } from '../adminPorts';
+import { adminAddresses, fetchConfigs } from '../adminPorts';
 import { failureReport, printReport, type CtlIo } from '../ctlIo';
 import { findStoredDocument } from '../documentObject';
 import { ctlExitCodes, describePlatformError, exitCodeOf, type CtlExitCode } from '../exitCodes';
@@ -9,13 +9,13 @@
 import {
   findAccepted,
   findStatus,
-  judgeQuarantine,
+  evaluateQuarantine,
   listQuarantineRecords,
   type QuarantineRecord,
 } from '../serviceState';
 
 export interface StatusVerbOptions {
-  /** Absent: all services. */
+  /** Default: all services. */
   service?: string;
   adminAddresses: readonly string[];
 }
@@ -39,7 +39,7 @@
     exitCode: ctlExitCodes.ok,
     data: { services: views.value.map((view) => serviceData(view, fleet)) },
     lines: views.value
-      .flatMap((view) => [...describeService(io.paint, view, fleet), ''])
+      .flatMap((view) => [...describeService(io.styles, view, fleet), ''])
       .slice(0, -1),
   });
 }
@@ -90,19 +90,19 @@
         quarantine:
           acceptedValue === undefined
             ? []
-            : judgeQuarantine(acceptedValue.document, records, Date.now()),
+            : evaluateQuarantine(acceptedValue.document, records, Date.now()),
       })),
     ),
   );
 }
 
-/** Without the list of instances, the processes named by hand are asked all the same. */
+/** If the list of instances is unavailable, the processes given by address are still queried. */
 async function readFleet(
   platform: PlatformApi,
   io: CtlIo,
   given: readonly string[],
 ): Promise<FleetView> {
   const instances = (await platform.instances()).unwrapOr([]);
-  const processes = await askConfigs(io, adminAddresses(given, instances));
+  const processes = await fetchConfigs(io, adminAddresses(given, instances));
   return { instances, processes };
 }
--- a/packages/ctl/src/verbs/validateVerb.ts
+++ b/packages/ctl/src/verbs/validateVerb.ts
@@ -1,4 +1,4 @@
-/** `bluebellctl validate`: checks files; needs no connection. */
+/** `bluebellctl validate`: checks files without a connection to the platform. */
 import { ctlExitCodes, type CtlExitCode } from '../exitCodes';
 import { printReport, type CtlIo } from '../ctlIo';
 import { describeLocal, localData, readLocalDocument, type LocalDocument } from '../localDocument';
@@ -12,7 +12,7 @@
   });
 }
 
-/** Findings outweigh unreadable files, because they are what the author has to mend. */
+/** Findings take precedence over unreadable files, because they are what the author has to fix. */
 export function exitCodeOfLocals(locals: readonly LocalDocument[]): CtlExitCode {
   if (locals.some(({ kind }) => kind === 'invalid')) {
     return ctlExitCodes.findings;
