--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,6 +1,6 @@
 /**
- * Lint rules: Airbnb's for TypeScript, then the deviations of this project's own style, each with its
- * reason, then the direction of dependencies between packages. Prettier alone decides about layout.
+ * Lint rules: Airbnb's for TypeScript, then the deviations of this project, each with its reason, then the direction of
+ * dependencies between packages. Layout is left to Prettier.
  */
 import { configs, plugins } from 'eslint-config-airbnb-extended';
 import prettierConfig from 'eslint-config-prettier';
@@ -17,23 +17,23 @@
 const typescriptFiles = ['**/*.ts'];
 const scriptFiles = ['**/*.mjs', '*.js'];
 
-/** Of Node.js, for files that the TypeScript compiler does not check. */
+/** Globals of Node.js, for files that the TypeScript compiler does not check. */
 const nodeGlobals = Object.fromEntries(
   ['AbortController', 'AbortSignal', 'Buffer', 'URL', 'clearTimeout', 'fetch', 'performance']
     .concat(['TextDecoder', 'clearInterval', 'process', 'setInterval', 'setTimeout'])
     .map((name) => [name, 'readonly']),
 );
 
-const houseRules = {
-  // House style: named exports only, so that an item has one name everywhere.
+const projectRules = {
+  // Named exports only, so that an item has the same name everywhere.
   'import-x/prefer-default-export': 'off',
   'import-x/no-default-export': 'error',
-  // House style: types and the factory come first, helpers after them; functions are hoisted.
-  // Variables of an outer scope may be named in a closure that runs later.
+  // Types and the factory come first and helpers after them; functions are hoisted. A closure that runs later may
+  // refer to variables of an outer scope that are declared after it.
   'no-use-before-define': ['error', { functions: false, classes: true, variables: false }],
-  // Retries, polls and streams wait for one step before the next; parallel ones use Promise.all.
+  // Retries, polls and streams run one step after the other; parallel work uses Promise.all.
   'no-await-in-loop': 'off',
-  // Airbnb bans for-of because of an old transpiler's cost; `for await` has no array method instead.
+  // Airbnb bans for-of because old transpilers made it costly; `for await` has no equivalent array method.
   'no-restricted-syntax': [
     'error',
     { selector: 'ForInStatement', message: 'Use Object.keys, values or entries.' },
@@ -45,10 +45,10 @@
   // `void promise;` marks a promise that is deliberately not awaited; see no-floating-promises.
   'no-void': ['error', { allowAsStatement: true }],
   'no-promise-executor-return': ['error', { allowVoid: true }],
-  // House style has no classes: state is a record that its owner's functions change, where a class
-  // would write `this.field`.
+  // There are no classes: state is a plain object that the functions of its owner mutate, where a class would write
+  // to `this.field`.
   'no-param-reassign': ['error', { props: false }],
-  // Hashes and seeded randomness work on unsigned 32-bit integers.
+  // Hashes and seeded random generators work on unsigned 32-bit integers.
   'no-bitwise': ['error', { allow: ['>>>', '^'] }],
   // Programs of this project write through their logger or to process.stdout on purpose.
   'no-console': 'error',
@@ -72,7 +72,7 @@
     'error',
     { prefer: 'type-imports', fixStyle: 'inline-type-imports' },
   ],
-  // A dropped promise loses its error and lets a task run on unseen after its owner ended.
+  // A floating promise loses its error, and its task may keep running unnoticed after its owner has ended.
   '@typescript-eslint/no-floating-promises': ['error', { ignoreVoid: true }],
   '@typescript-eslint/no-misused-promises': ['error', { checksVoidReturn: { arguments: false } }],
   '@typescript-eslint/await-thenable': 'error',
@@ -94,7 +94,7 @@
   plugins.typescriptEslint,
   ...configs.base.typescript,
   prettierConfig,
-  { name: 'bluebellhitch/style', rules: houseRules },
+  { name: 'bluebellhitch/style', rules: projectRules },
   {
     name: 'bluebellhitch/typescript',
     files: typescriptFiles,
@@ -105,7 +105,7 @@
   },
   {
     name: 'bluebellhitch/workspaces',
-    // One lock file and one list of dependencies, at the root, serve all workspaces.
+    // All workspaces share one lock file and one list of dependencies, at the root.
     settings: { 'import-x/internal-regex': '^@bluebellhitch/' },
   },
   {
@@ -131,7 +131,7 @@
         { devDependencies: true, packageDir: repositoryRoot },
       ],
       'import-x/no-named-as-default': 'off',
-      // Tests open results of neverthrow this way, so that an unexpected variant fails with its value.
+      // Tests unwrap results of neverthrow this way, so that an unexpected variant fails with its value.
       'no-underscore-dangle': ['error', { allow: ['_unsafeUnwrap', '_unsafeUnwrapErr'] }],
     },
   },
@@ -139,7 +139,7 @@
     name: 'bluebellhitch/measurements',
     files: ['packages/*/scripts/**/*.ts'],
     rules: {
-      // neverthrow's names for a value whose error would be a defect of the script.
+      // Measurements unwrap results of neverthrow this way if an error would be a bug of the script.
       'no-underscore-dangle': ['error', { allow: ['_unsafeUnwrap', '_unsafeUnwrapErr'] }],
       'import-x/no-extraneous-dependencies': [
         'error',
@@ -152,7 +152,7 @@
     files: scriptFiles,
     languageOptions: { globals: nodeGlobals },
     rules: {
-      // Node.js resolves relative imports of plain scripts by their full name only.
+      // Node.js resolves relative imports of plain scripts only with their extension.
       'import-x/extensions': ['error', 'ignorePackages', { mjs: 'always', js: 'always' }],
       'import-x/no-extraneous-dependencies': [
         'error',
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,6 +1,6 @@
 /**
- * Bundles each binary into dist/, and the launcher that `npm start` shares with the bench. Packages of the
- * workspace are bundled, those of npm are not.
+ * Bundles each binary, and the fleet launcher that `npm start` shares with the bench, into dist/. Workspace packages
+ * are bundled; npm packages stay external.
  */
 import { mkdir, readFile, rename, writeFile } from 'node:fs/promises';
 import { existsSync } from 'node:fs';
@@ -51,7 +51,7 @@
 const note = missing.length === 0 ? '' : `; no source yet: ${missing.join(', ')}`;
 process.stdout.write(`built ${sources.length} bundles into dist${note}\n`);
 
-/** A process that starts during a build reads the old file or the new one, never a part of one. */
+/** Replaces a file atomically, so that a process that starts during a build never reads a partly written one. */
 async function replaceFile({ path, contents }) {
   const temporaryPath = `${path}.${process.pid}`;
   await writeFile(temporaryPath, contents, { mode: executableMode });
--- a/scripts/buildPlatform.mjs
+++ b/scripts/buildPlatform.mjs
@@ -1,25 +1,27 @@
 /**
- * Bundles the platform's router into `target/`, where its deploy file expects it. Packages of npm are
- * bundled too: a start reads one file instead of several hundred.
+ * Bundles the platform's router into `target/`, where its deploy file expects it. npm packages are bundled too, so
+ * that a start reads one file instead of several hundred.
  */
 import { join } from 'node:path';
 import { build } from 'esbuild';
 import { repositoryRoot } from './lib/repository.mjs';
 
-// Packages in the old module format call `require`, which an ES module does not have.
+// CommonJS packages call `require`, which does not exist in an ES module.
 const requireBanner = [
   "import { createRequire as createBundleRequire } from 'node:module';",
   'const require = createBundleRequire(import.meta.url);',
 ].join('\n');
 
-const partsPath = (file) => join(repositoryRoot, 'scripts', 'lib', file);
+const slimModulePath = (file) => join(repositoryRoot, 'scripts', 'lib', file);
 
-/** Resolves a library to its parts in use; see the file named. */
-const partsOfLibraries = {
+/** Replaces libraries by modules with only the parts in use; each module states the reason. */
+const slimLibraries = {
   name: 'parts-of-libraries',
   setup(builder) {
-    builder.onResolve({ filter: /^undici$/ }, () => ({ path: partsPath('undiciParts.mjs') }));
-    builder.onResolve({ filter: /^(node:)?http2$/ }, () => ({ path: partsPath('noHttp2.mjs') }));
+    builder.onResolve({ filter: /^undici$/ }, () => ({ path: slimModulePath('undiciParts.mjs') }));
+    builder.onResolve({ filter: /^(node:)?http2$/ }, () => ({
+      path: slimModulePath('noHttp2.mjs'),
+    }));
   },
 };
 
@@ -33,9 +35,9 @@
   target: 'node20',
   format: 'esm',
   conditions: ['bluebell-source'],
-  // Loading the smaller text takes a third of the processor time, which a restart has to wait for.
+  // Loading the minified bundle takes a third of the CPU time, and every restart waits for it.
   minify: true,
-  plugins: [partsOfLibraries],
+  plugins: [slimLibraries],
   sourcemap: 'external',
   banner: { js: requireBanner },
   logLevel: 'warning',
--- a/scripts/ci.mjs
+++ b/scripts/ci.mjs
@@ -1,6 +1,6 @@
 /**
- * `.ci/run`: the tests, then formatting, lint rules and types. All steps run, whatever an earlier one
- * found. The last line is `N passed, N failed`, counted from ava's own report.
+ * `.ci/run`: runs the tests, then checks formatting, lint rules and types. All steps run, even if an earlier one
+ * fails. The last line is `N passed, N failed`, counted from ava's own report.
  */
 import { spawn } from 'node:child_process';
 import { createInterface } from 'node:readline';
@@ -45,7 +45,7 @@
   return failedChecks;
 }
 
-/** Why the tests are not green, beside the failures that are known. */
+/** Separates new failures from known ones, and lists why the tests count as failed. */
 function judgeTests({ report, exitCode }, knownRed) {
   const knownTitles = knownRed.map(({ title }) => title);
   const newFailures = report.failed.filter((title) => !knownTitles.includes(title));
--- a/scripts/lib/exitWithParent.mjs
+++ b/scripts/lib/exitWithParent.mjs
@@ -1,6 +1,6 @@
 /**
- * Loaded before a stand-in, which does not watch its parent by itself: ends the process when its
- * standard input ends, because the script that started it is gone.
+ * Preloaded into stand-ins, which do not watch their parent process themselves. Exits when standard input ends, because
+ * then the script that started the process is gone.
  */
 process.stdin.once('end', () => process.exit(0));
 process.stdin.once('error', () => process.exit(0));
--- a/scripts/lib/knownRed.mjs
+++ b/scripts/lib/knownRed.mjs
@@ -1,11 +1,11 @@
-/** KNOWN-RED.txt: tests that fail for a known fault, one a line as `title | cause | issue`. */
+/** KNOWN-RED.txt: tests that fail for a known fault, one per line as `title | cause | issue`. */
 import { existsSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { repositoryRoot } from './repository.mjs';
 
 export const knownRedLimit = 3;
 
-/** Reads the list; empty where there is no file. */
+/** Reads the list; it is empty if the file does not exist. */
 export function readKnownRed(path = join(repositoryRoot, 'KNOWN-RED.txt')) {
   if (!existsSync(path)) {
     return [];
--- a/scripts/lib/outputFilter.mjs
+++ b/scripts/lib/outputFilter.mjs
@@ -1,13 +1,13 @@
-/** Shows what started processes write: everything, or only warnings and what is not a log line. */
+/** Filters the output of started processes: everything, or only warnings, errors and lines that are not log lines. */
 
-const quietLevels = ['debug', 'info'];
+const hiddenLevels = ['debug', 'info'];
 
-/** Creates a function that prints the lines worth showing, each with the name of its process. */
+/** Creates a function that prints the lines that pass the filter, prefixed with the name of their process. */
 export function createOutputFilter({ verbose }, parseLogLine, print) {
   return (name, line) => {
     const parsed = parseLogLine(line);
-    const isQuiet = parsed?.message === 'listening' || quietLevels.includes(parsed?.level);
-    if (verbose || !isQuiet) {
+    const isHidden = parsed?.message === 'listening' || hiddenLevels.includes(parsed?.level);
+    if (verbose || !isHidden) {
       print(`[${name}] ${line}`);
     }
   };
--- a/scripts/lib/ports.mjs
+++ b/scripts/lib/ports.mjs
@@ -1,8 +1,8 @@
-/** Whether the fixed ports of a quickstart are free. */
+/** Checks whether the fixed ports of `npm start` are free. */
 import { once } from 'node:events';
 import { createServer } from 'node:net';
 
-/** Those of the ports that something else listens on; 0 stands for any free port. */
+/** Returns the given ports that are already in use; port 0 means any free port and is never in use. */
 export async function findUsedPorts(ports) {
   const results = await Promise.all(
     ports.map(async (port) => ({ port, isUsed: await isUsed(port) })),
--- a/scripts/lib/sampleRequests.mjs
+++ b/scripts/lib/sampleRequests.mjs
@@ -36,7 +36,7 @@
   }
 }
 
-/** Prints the answer of a plain lookup. */
+/** Prints the response of a plain lookup. */
 export async function showLookup(callerAddress, { institution }, write) {
   const { lookupPath } = samples[institution];
   const response = await fetch(`${callerAddress}${lookupPath}`, {
@@ -49,7 +49,7 @@
   write(`GET ${lookupPath}\n${text}\n`);
 }
 
-/** A line for a shell that does the same as `showCompletion`. */
+/** A curl command line that sends the same request as `showCompletion`. */
 export function curlLine(callerAddress, { service, institution }) {
   const body = JSON.stringify(completionBody(service, institution));
   return [
--- a/scripts/lib/tapReport.mjs
+++ b/scripts/lib/tapReport.mjs
@@ -3,7 +3,7 @@
 const resultPattern = /^(not ok|ok) \d+ - (.*?)(?: # (SKIP|TODO).*)?$/;
 const planPattern = /^1\.\.\d+$/;
 
-/** Creates a report that grows with each line. */
+/** Creates a report that is updated with each line. */
 export function createTapReport() {
   const passed = [];
   const failed = [];
@@ -26,7 +26,7 @@
         listFor(verdict, directive).push(title);
       }
     },
-    /** Whether ava came to its end; a report that breaks off proves nothing. */
+    /** Whether ava finished; an incomplete report does not show that the tests passed. */
     isComplete: () => isComplete,
     passed,
     failed,
--- a/scripts/lib/undiciParts.mjs
+++ b/scripts/lib/undiciParts.mjs
@@ -1,6 +1,6 @@
 /**
- * What the platform's router uses of undici. The package's own index loads its fetch, caches, proxies and mocks as
- * well: 0.1 s of processor time at each start.
+ * The parts of undici that the platform's router uses. The index of the package also loads fetch, caches, proxies and
+ * mocks, which takes 0.1 s of CPU time at each start.
  */
 import api from 'undici/lib/api/index.js';
 import buildConnector from 'undici/lib/core/connect.js';
@@ -8,12 +8,12 @@
 import Client from 'undici/lib/dispatcher/client.js';
 import Dispatcher from 'undici/lib/dispatcher/dispatcher.js';
 
-// As the package's index does: calls such as `request` are methods of each dispatcher.
+// As in the index of the package: calls such as `request` are methods of each dispatcher.
 Object.assign(Dispatcher.prototype, api);
 
 export { Agent, Client, buildConnector };
 
-/** `request` with a dispatcher of the caller's, the only way in which the router uses it. */
+/** `request` with a dispatcher that the caller provides; the router uses no other form. */
 export function request(address, { dispatcher, ...options }) {
   const { origin, pathname, search } = new URL(address);
   return dispatcher.request({ ...options, origin, path: `${pathname}${search}` });
--- a/scripts/lint/layering.mjs
+++ b/scripts/lint/layering.mjs
@@ -1,6 +1,6 @@
 /**
- * The direction of dependencies between packages, as CONTRIBUTING.md draws it: one lint configuration
- * for each package.
+ * Enforces the direction of dependencies between packages, as shown in CONTRIBUTING.md, with one lint configuration for
+ * each package. A package may import those of the layers listed before its own.
  */
 const layers = [
   ['shared'],
@@ -9,26 +9,27 @@
   ['duties', 'membership', 'engine', 'telemetry'],
   ['routing'],
   ['entry', 'agent', 'ctl', 'standins'],
-  // Runs the router's decisions in virtual time before the stand-ins' engine.
+  // Runs the decisions of the router in virtual time against the engine of the stand-ins.
   ['replay'],
   ['bench'],
-  // Runs the binaries' parts together in one process.
+  // Runs the components of the binaries together in one process.
   ['scenarios'],
-  // Translates for the users' platform: it may use what is below, and nothing may use it.
+  // Adapter for the users' platform: it may use the layers before it, and no package of the product may use it.
   ['platform'],
-  // The platform's outside, for tests: it speaks the same wire, so it may share the translations' types.
+  // Stand-ins for the surroundings of the platform's router, for tests. They use the same wire formats, so they may
+  // import the types of the adapter.
   ['platform-standins'],
-  // Runs the platform's router as processes before those stand-ins.
+  // Runs processes of the platform's router against those stand-ins.
   ['soak'],
 ];
 
-/** Packages that do not lie under packages/. */
+/** Folders of packages that are not under packages/. */
 const folders = { platform: 'platform', 'platform-standins': 'platform/standins' };
 
-/** Edges inside a layer; each needs a reason. */
-const extraEdges = {};
+/** Allowed dependencies within a layer; each needs a reason. */
+const extraDependencies = {};
 
-/** Decisions are pure: whatever reads a clock, a socket or a file stays outside. */
+/** I/O modules that `decisions` must not import: it is pure and reads no clock, socket or file. */
 const ioModules = [
   'node:*',
   'undici',
@@ -46,7 +47,7 @@
   const folder = folders[name] ?? `packages/${name}`;
   return [
     layeringConfig(name, `${folder}/src/**/*.ts`, allowedImports(name)),
-    // Tests may use the stand-ins of the outside world as well.
+    // Tests may also use the stand-ins for external systems.
     layeringConfig(name, `${folder}/__tests__/**/*.ts`, [
       ...allowedImports(name),
       name,
@@ -58,7 +59,7 @@
 
 function allowedImports(name) {
   const level = layers.findIndex((layer) => layer.includes(name));
-  return [...layers.slice(0, level).flat(), ...(extraEdges[name] ?? [])];
+  return [...layers.slice(0, level).flat(), ...(extraDependencies[name] ?? [])];
 }
 
 function layeringConfig(name, files, allowed) {
@@ -78,7 +79,7 @@
           patterns: [
             {
               group: ['@bluebellhitch/*/*'],
-              message: 'Import from the package; its index.ts is its public surface.',
+              message: 'Import from the package; its index.ts is its public API.',
             },
             ...(isPureSource
               ? [{ group: ioModules, message: 'decisions has no I/O; pass in what it needs.' }]
--- a/scripts/lint/moduleComment.mjs
+++ b/scripts/lint/moduleComment.mjs
@@ -1,9 +1,9 @@
-/** A lint rule: each module but an index starts with a doc comment that says what the module is for. */
+/** Lint rule: each module except index.ts starts with a doc comment that states its purpose. */
 const moduleComment = {
   meta: {
     type: 'suggestion',
     schema: [],
-    messages: { missing: 'Start the module with a doc comment that says what it is for.' },
+    messages: { missing: 'Start the module with a doc comment that states its purpose.' },
   },
   create(context) {
     return {
--- a/scripts/randomScripts.mjs
+++ b/scripts/randomScripts.mjs
@@ -1,13 +1,13 @@
 /**
- * `npm run random-scripts -- --minutes N --seed S`: random scripts of failures over a world of real entries and
- * agents, from seed S on, for N minutes. Prints the seed and the shrunk script of the first failure.
+ * `npm run random-scripts -- --minutes N --seed S`: runs random fault scripts against real entries and agents, from
+ * seed S on, for N minutes. Prints the seed and the shrunk script of the first failure.
  */
 import { spawn } from 'node:child_process';
 import { parseArgs } from 'node:util';
 import { repositoryRoot } from './lib/repository.mjs';
 
 const program = 'packages/scenarios/__tests__/support/runRandomScripts.ts';
-/** A process of its own for each stretch of seeds bounds what worlds leave behind in memory. */
+/** Each process runs only this many seeds, which bounds the memory that the runs leave allocated. */
 const seedsPerProcess = 4;
 const msPerMinute = 60_000;
 const { values } = parseArgs({
@@ -25,14 +25,14 @@
       .concat(['--seeds', String(seedsPerProcess)]),
     { cwd: repositoryRoot, stdio: ['ignore', 'pipe', 'inherit'] },
   );
-  const parts = [];
-  child.stdout.on('data', (part) => parts.push(part));
+  const chunks = [];
+  child.stdout.on('data', (chunk) => chunks.push(chunk));
   return new Promise((resolve) => {
-    child.once('close', (code) => resolve({ code, text: Buffer.concat(parts).toString('utf8') }));
+    child.once('close', (code) => resolve({ code, text: Buffer.concat(chunks).toString('utf8') }));
   });
 }
 
-/** Adds the counts in a process's last line, which is JSON. */
+/** Adds the counts from the last output line of a process, which is JSON. */
 function addCounts(totals, text) {
   const counts = JSON.parse(text.trim().split('\n').at(-1));
   Object.entries(counts).forEach(([name, count]) => {
@@ -55,9 +55,9 @@
     process.stdout.write(text);
   }
 }
-const verdict =
+const result =
   exitCode === 0 ? 'no failure' : `failure in seeds ${seed} to ${seed + seedsPerProcess - 1}`;
 process.stdout.write(
-  `${verdict}; clean: seeds ${firstSeed} to ${seed - 1}, ${JSON.stringify(totals)}\n`,
+  `${result}; clean: seeds ${firstSeed} to ${seed - 1}, ${JSON.stringify(totals)}\n`,
 );
 process.exit(exitCode);
--- a/scripts/soak.mjs
+++ b/scripts/soak.mjs
@@ -1,7 +1,7 @@
 /**
- * `npm run soak -- --seed S --minutes M`: runs of the fault soak from seed S on, for M minutes or `--seeds N`
- * runs, `--jobs J` at once. Other flags go to each run. A run with findings keeps its directory under
- * `soak-runs/`, with the script, the requests that the findings name, and the routers' logs.
+ * `npm run soak -- --seed S --minutes M`: runs the fault soak from seed S on, for M minutes or `--seeds N` runs, with
+ * `--jobs J` runs at a time. Other flags are passed to each run. A run with findings keeps its directory under
+ * `soak-runs/`, with the script, the requests that the findings name, and the logs of the routers.
  */
 import { spawn } from 'node:child_process';
 import { rm } from 'node:fs/promises';
@@ -28,27 +28,27 @@
   process.exit(prepared);
 }
 
-function flagsOf(seed, job, directory) {
-  const passedOn = ['seconds', 'routers', 'callers', 'margin-ms'];
+function runFlags(seed, job, directory) {
+  const forwardedFlags = ['seconds', 'routers', 'callers', 'margin-ms'];
   return [`--seed=${seed}`, `--host-prefix=127.${20 + job}.0`, `--directory=${directory}`].concat(
-    passedOn.map((name) => `--${name}=${values[name]}`),
+    forwardedFlags.map((name) => `--${name}=${values[name]}`),
   );
 }
 
-/** Resolves with the report of a run, or with a finding where the run itself failed. */
+/** Resolves with the report of a run, or with one finding if the run itself failed. */
 async function runSeed(seed, job) {
   const directory = join(repositoryRoot, 'soak-runs', String(seed));
   await rm(directory, { recursive: true, force: true });
   const program = join(repositoryRoot, 'dist', 'bluebell-soak.js');
-  const child = spawn(process.execPath, [program, ...flagsOf(seed, job, directory)], {
+  const child = spawn(process.execPath, [program, ...runFlags(seed, job, directory)], {
     stdio: ['ignore', 'pipe', 'inherit'],
   });
-  const parts = [];
-  child.stdout.on('data', (part) => parts.push(part));
+  const chunks = [];
+  child.stdout.on('data', (chunk) => chunks.push(chunk));
   const code = await new Promise((resolve) => {
     child.once('close', resolve);
   });
-  const lastLine = Buffer.concat(parts).toString('utf8').trim().split('\n').at(-1);
+  const lastLine = Buffer.concat(chunks).toString('utf8').trim().split('\n').at(-1);
   const report = lastLine.startsWith('{')
     ? JSON.parse(lastLine)
     : { seed, findings: [{ promise: 'run', detail: `the run ended with ${code}` }] };
@@ -63,7 +63,7 @@
 const endSeed = firstSeed + Number(values.seeds);
 let nextSeed = firstSeed;
 let requests = 0;
-const withFindings = [];
+const seedsWithFindings = [];
 
 async function runJob(job) {
   while (nextSeed < endSeed && Date.now() < endsAtMs) {
@@ -73,15 +73,17 @@
     requests += report.requests ?? 0;
     process.stdout.write(`${JSON.stringify(report)}\n`);
     if (report.findings.length > 0) {
-      withFindings.push(seed);
+      seedsWithFindings.push(seed);
     }
   }
 }
 
 await Promise.all(Array.from({ length: Number(values.jobs) }, (_none, job) => runJob(job)));
-const verdict =
-  withFindings.length === 0 ? 'no finding' : `findings in seeds ${withFindings.join(', ')}`;
+const result =
+  seedsWithFindings.length === 0
+    ? 'no finding'
+    : `findings in seeds ${seedsWithFindings.join(', ')}`;
 process.stdout.write(
-  `${verdict}; seeds ${firstSeed} to ${nextSeed - 1}, ${requests} requests of callers\n`,
+  `${result}; seeds ${firstSeed} to ${nextSeed - 1}, ${requests} requests of callers\n`,
 );
-process.exit(withFindings.length === 0 ? 0 : 1);
+process.exit(seedsWithFindings.length === 0 ? 0 : 1);
--- a/scripts/start.mjs
+++ b/scripts/start.mjs
@@ -1,6 +1,6 @@
 /**
- * `npm start`: the real binaries as separate processes on this machine, with stand-ins for the engines,
- * the plain service and the platform. Options: see `usage`.
+ * `npm start`: runs the real binaries as separate processes on this machine, with stand-ins for the engines, the plain
+ * service and the platform. For the options, see `usage`.
  */
 import { join } from 'node:path';
 import { pathToFileURL } from 'node:url';
@@ -22,7 +22,7 @@
 
 const exitCodes = { ok: 0, failure: 1, invalidSettings: 2 };
 const parentPollMs = 500;
-/** Longer than the product's binaries take at most. */
+/** Longer than the binaries of the product may take to stop. */
 const stopBoundMs = 130_000;
 
 function print(line) {
@@ -46,16 +46,19 @@
     entryPort: Number(process.env.BLUEBELL_ENTRY_PORT ?? 8080),
     adminPort: Number(process.env.BLUEBELL_ADMIN_PORT ?? 9090),
   };
-  return { options, findings: findingsOf(options) };
+  return { options, findings: validateOptions(options) };
 }
 
-function findingsOf({ entryCount, entryPort, adminPort }) {
+function validateOptions({ entryCount, entryPort, adminPort }) {
   const isPort = (value) => Number.isInteger(value) && value >= 0 && value <= 65_535;
   return [
-    [Number.isInteger(entryCount) && entryCount >= 1, '--entries: must be a whole number from 1'],
+    [
+      Number.isInteger(entryCount) && entryCount >= 1,
+      '--entries: must be a whole number, 1 or above',
+    ],
     [isPort(entryPort), 'BLUEBELL_ENTRY_PORT: must be a port'],
     [isPort(adminPort), 'BLUEBELL_ADMIN_PORT: must be a port'],
-  ].flatMap(([isRight, finding]) => (isRight ? [] : [finding]));
+  ].flatMap(([isValid, finding]) => (isValid ? [] : [finding]));
 }
 
 /** Resolves with the cause of the first request to stop; a second one calls `onSecond`. */
@@ -76,10 +79,10 @@
 }
 
 /**
- * npm cannot pass on a SIGKILL; without this the processes would run on unseen. `npm start` replaces its
- * shell by this script, so that npm is its parent and passes SIGTERM on to it.
+ * Stops when npm is gone: npm cannot forward a SIGKILL, and without this check the processes would keep running
+ * unnoticed. `npm start` replaces its shell with this script, so npm is its parent and forwards SIGTERM to it.
  */
-function watchNpm(onGone) {
+function watchNpm(onParentExit) {
   if (process.env.npm_lifecycle_event === undefined) {
     return;
   }
@@ -87,24 +90,24 @@
   const timer = setInterval(() => {
     if (process.ppid !== parentId) {
       clearInterval(timer);
-      onGone();
+      onParentExit();
     }
   }, parentPollMs);
   timer.unref();
 }
 
-function describe({ name, pid, addresses }) {
-  const places = Object.entries(addresses).map(([place, address]) => `${place}=${address}`);
-  return `started ${name} pid=${pid} ${places.join(' ')}`;
+function describeProcess({ name, pid, addresses }) {
+  const pairs = Object.entries(addresses).map(([label, address]) => `${label}=${address}`);
+  return `started ${name} pid=${pid} ${pairs.join(' ')}`;
 }
 
-async function showOnce(callerAddress, example) {
+async function sendSampleRequests(callerAddress, example) {
   const write = (text) => process.stdout.write(text);
   await showCompletion(callerAddress, example, write);
   await showLookup(callerAddress, example, write);
 }
 
-/** Callers' ports, then the admin ports of entries and agents; none where free ports are taken. */
+/** The ports for callers, then the admin ports of entries and agents; without those where any free port is used. */
 function fixedPorts({ entryPort, adminPort, entryCount }, { backends }) {
   const portsFrom = (first, count) =>
     first === 0 ? [] : Array.from({ length: count }, (_, index) => first + index);
@@ -124,7 +127,7 @@
   if (prepared !== 0) {
     return prepared;
   }
-  // Built only now.
+  // Imported here, because `prepare` has only just built it.
   const fleetUrl = pathToFileURL(join(repositoryRoot, 'dist', 'development-fleet.js'));
   const library = await import(fleetUrl);
   const institutions = Object.values(library.institutionNames);
@@ -161,8 +164,8 @@
     stopBoundMs,
     entryGroups: [{ name: '', count: options.entryCount, settings: {} }],
     firstPorts: options,
-    onStarted: (started) => print(describe(started)),
-    onEnded: (name, cause) => print(`${name} ended by itself: ${cause}`),
+    onStarted: (started) => print(describeProcess(started)),
+    onEnded: (name, cause) => print(`${name} ended unexpectedly: ${cause}`),
     onLine: createOutputFilter(options, parseLogLine, print),
   });
   fleet = await Promise.race([starting, stopRequested.then(() => undefined)]);
@@ -179,7 +182,7 @@
   );
   print(`try: ${curlLine(callerAddress, example)}`);
   const outcome = options.once
-    ? await showOnce(callerAddress, example).then(
+    ? await sendSampleRequests(callerAddress, example).then(
         () => exitCodes.ok,
         (error) => {
           print(error.message);
@@ -188,12 +191,12 @@
       )
     : await stopRequested.then(() => exitCodes.ok);
   print('stopping');
-  const cutOff = await fleet.stop();
-  cutOff.forEach((name) => print(`${name} did not stop gracefully`));
-  return cutOff.length === 0 ? outcome : exitCodes.failure;
+  const killedNames = await fleet.stop();
+  killedNames.forEach((name) => print(`${name} did not stop gracefully`));
+  return killedNames.length === 0 ? outcome : exitCodes.failure;
 }
 
-// Leaves with the children's pipes: an exit at any point ends every process that was started.
+// Children stop when their standard input closes, so an exit at any point ends every process that was started.
 try {
   process.exit(await main());
 } catch (error) {
