--- a/packages/standins/__tests__/platformHttp.test.ts
+++ b/packages/standins/__tests__/platformHttp.test.ts
@@ -35,7 +35,7 @@
   t.is((await client.get('claim', 'a/b c'))._unsafeUnwrapErr().kind, 'not-found');
 });
 
-test('a watch answers at the next change, and an old cursor is told of compaction', async (t) => {
+test('a watch returns at the next change, and reports compaction to an old cursor', async (t) => {
   const { client, control } = await start(t);
   const { cursor } = (await client.list('accepted'))._unsafeUnwrap();
   const waiting = client.watch('accepted', cursor, 5000);
@@ -47,19 +47,22 @@
   t.true((await client.watch('accepted', cursor, 0))._unsafeUnwrap().compacted);
 });
 
-// A caller gets no answer to its write. The platform applied it before the connection broke, so the
-// write must be reported as possibly done, while a refused connection or an outage certainly had no
-// effect: claims are released or kept on that difference.
-test('a lost answer is an unknown outcome, and a refusal is not', async (t) => {
+// The platform applies a write, and the connection breaks before the response. The client must report the
+// outcome as unknown, but a refused connection or an outage as without effect: whether a claim is kept or
+// released depends on that difference.
+test('a lost response is an unknown outcome, and a refusal is not', async (t) => {
   const { client, address, control } = await start(t);
   control.loseAnswers({ count: 1, verb: 'create', effect: 'applied' });
   t.is((await client.create('claim', 'k', {}))._unsafeUnwrapErr().kind, 'unknown-outcome');
   t.true((await client.get('claim', 'k')).isOk());
-  const hurried = createHttpPlatformClient({ address, timeoutMs: 300 });
+  const impatientClient = createHttpPlatformClient({ address, timeoutMs: 300 });
   control.setSlow(10_000);
-  t.is((await hurried.create('claim', 'slow', {}))._unsafeUnwrapErr().kind, 'unknown-outcome');
-  t.is((await hurried.get('claim', 'k'))._unsafeUnwrapErr().kind, 'unavailable');
-  await hurried.close();
+  t.is(
+    (await impatientClient.create('claim', 'slow', {}))._unsafeUnwrapErr().kind,
+    'unknown-outcome',
+  );
+  t.is((await impatientClient.get('claim', 'k'))._unsafeUnwrapErr().kind, 'unavailable');
+  await impatientClient.close();
   control.clearFaults();
   control.setOutage(true);
   t.is((await client.create('claim', 'out', {}))._unsafeUnwrapErr().kind, 'unavailable');
@@ -69,17 +72,17 @@
 });
 
 test('rates and value sizes are limited', async (t) => {
-  const { client } = await start(t, { writesPerSecond: 1, valueLimitBytes: 100 });
+  const { client } = await start(t, { writesPerSecond: 1, maxValueBytes: 100 });
   const startedAtMs = performance.now();
   const keys = Array.from({ length: 20 }, (_none, index) => `key-${index}`);
   const writes = await Promise.all(keys.map((key) => client.create('claim', key, {})));
-  // One to begin with, and one for each second that the writes took on a busy machine.
-  const most = 1 + (performance.now() - startedAtMs) / 1_000;
+  // The initial token, and one more for each second that the writes took on a busy machine.
+  const maxAllowed = 1 + (performance.now() - startedAtMs) / 1_000;
   const allowed = writes.filter((write) => write.isOk()).length;
-  t.true(allowed >= 1 && allowed <= most, `${allowed} of ${most}`);
+  t.true(allowed >= 1 && allowed <= maxAllowed, `${allowed} of ${maxAllowed}`);
   const refusals = writes.filter((write) => write.isErr());
   t.true(refusals.every((write) => write._unsafeUnwrapErr().kind === 'rate-limited'));
-  const other = await start(t, { valueLimitBytes: 100 });
+  const other = await start(t, { maxValueBytes: 100 });
   const rejected = await other.client.create('claim', 'big', 'x'.repeat(200));
   t.is(rejected._unsafeUnwrapErr().kind, 'rejected');
 });
@@ -107,8 +110,8 @@
   await client.close();
 });
 
-// A watch waits for a minute while the process is told to stop. Waiting for it would hold up the exit.
-test('the binary says where it listens and exits 0 on SIGTERM in spite of a waiting watch', async (t) => {
+// Guards against a waiting watch, which can take a minute, delaying the exit of the process.
+test('the binary prints its address and exits with 0 on SIGTERM despite a waiting watch', async (t) => {
   const script = new URL('../src/bin/standinPlatform.ts', import.meta.url).pathname;
   const child = spawn(process.execPath, ['--import=tsx', '--conditions=bluebell-source', script], {
     stdio: ['ignore', 'pipe', 'inherit'],
--- a/packages/standins/__tests__/standinEngine.test.ts
+++ b/packages/standins/__tests__/standinEngine.test.ts
@@ -28,7 +28,7 @@
   return { ...prefillInput(attemptId), imported: false, maxOutputTokens: 1000, ...change };
 }
 
-/** Starts reading; `chunks` fills as time passes. */
+/** Reads in the background; `chunks` grows as time advances. */
 function read(source: AsyncIterable<EngineChunk>): { chunks: EngineChunk[]; ended: boolean } {
   const state = { chunks: [] as EngineChunk[], ended: false };
   void (async () => {
@@ -73,7 +73,7 @@
   t.is(engine.stats().heldKvBytes, 0);
 });
 
-test('a prefill costs many tokens of output, and a cached one little', async (t) => {
+test('a cached prompt takes much less time to prefill than an uncached one', async (t) => {
   const engine = createStandinEngine();
   const startMs = t.context.clock.now;
   const cold = await prefill(t.context.clock, engine, 'a');
@@ -95,9 +95,9 @@
   t.true(chunks.length - before <= 6, `${chunks.length - before} tokens beside the prefill`);
 });
 
-test('an export nobody fetches is dropped in under a second and counted', async (t) => {
-  // The decode worker never comes for the result. Were the export kept, prefill memory would fill up
-  // with results of requests that are gone; so it goes by itself, and its tokens count as wasted.
+test('an export that is not fetched is dropped within a second and counted', async (t) => {
+  // The decode worker never fetches the result. If exports did not expire, the results of abandoned
+  // requests would fill the prefill memory. The tokens of an expired export count as wasted.
   const { clock } = t.context;
   const engine = createStandinEngine();
   const { exportId, kvBytes } = await prefill(clock, engine, 'a');
@@ -108,7 +108,7 @@
   t.deepEqual([heldKvBytes, expiredExports, wastedPrefillTokens], [0, 1, 500]);
 });
 
-test('no more streams run than there are slots, and the urgent ones go first', async (t) => {
+test('no more streams run than there are slots, and more urgent ones run first', async (t) => {
   const engine = createStandinEngine({ slotCount: 2 });
   await decode(engine, 'a', { prompt: 'a' });
   await decode(engine, 'b', { prompt: 'b' });
@@ -124,9 +124,9 @@
   t.is(late.chunks.length, 0);
 });
 
-test('a full memory makes streams wait or give way, and is never exceeded', async (t) => {
-  // Ten streams, each of which fits alone, grow beyond the memory together. The least urgent gives up
-  // its memory and computes it again later; every answer is still whole.
+test('when the memory is full, streams wait or are preempted, and it is never exceeded', async (t) => {
+  // Ten streams, each of which fits alone, together outgrow the memory. The least urgent ones are
+  // preempted and compute their context again later; every response must still be complete.
   const engine = createStandinEngine({ capacityKvBytes: 1000, kvBytesPerToken: 1 });
   const streams = await Promise.all(
     Array.from({ length: 10 }, (_, index) =>
@@ -144,8 +144,8 @@
 });
 
 test('cancel frees the memory at once and is idempotent', async (t) => {
-  // The caller leaves in the middle of its answer. The stream ends without an end chunk, its memory is
-  // free at once, and a repeated cancel, such as after a lost answer, succeeds without effect.
+  // The caller disconnects in the middle of its response. The stream ends without an end chunk, its memory
+  // is freed at once, and a repeated cancel, such as after a lost response, succeeds without effect.
   const engine = createStandinEngine();
   const stream = await decode(engine, 'a');
   await t.context.clock.tickAsync(300);
@@ -159,9 +159,8 @@
   t.deepEqual([engine.stats().heldKvBytes, engine.stats().cancelledDecodes], [0, 1]);
 });
 
-test('failed and lost cancels behave as told', async (t) => {
-  // A failed cancel leaves the memory held; a lost answer has freed it. Callers cannot tell these
-  // apart by the error, only by the list of streams.
+test('a failed cancel keeps the memory, a cancel with a lost response frees it', async (t) => {
+  // Callers cannot distinguish the two by the error, only by the list of streams.
   const engine = createStandinEngine();
   await decode(engine, 'a');
   await t.context.clock.tickAsync(200);
@@ -173,7 +172,7 @@
   t.is(engine.stats().heldKvBytes, 0);
 });
 
-test('resume continues exactly behind what was emitted', async (t) => {
+test('resume continues exactly after the emitted tokens', async (t) => {
   const engine = createStandinEngine();
   const expected = expectedOutput(prompt, model);
   const emitted = { tokenCount: 7, text: expected.text(7) };
@@ -187,7 +186,7 @@
   t.is(wrong._unsafeUnwrapErr().kind, 'failed');
 });
 
-test('the output limit of a resumed answer counts the tokens to come', async (t) => {
+test('the output limit of a resumed response counts the remaining tokens only', async (t) => {
   const engine = createStandinEngine();
   const expected = expectedOutput(prompt, model);
   const emitted = { tokenCount: 7, text: expected.text(7) };
@@ -198,7 +197,7 @@
   t.like(chunks.at(-1), { kind: 'end', offset: 12, finishReason: 'length' });
 });
 
-test('a transfer takes its time, and its memory passes to the decode', async (t) => {
+test('a transfer takes time at its rate, and its memory passes to the decode', async (t) => {
   const { clock } = t.context;
   const { connectPeer, add } = createPeerDirectory();
   const source = createStandinEngine();
@@ -226,9 +225,10 @@
   t.deepEqual([source.stats().wastedPrefillTokens, source.stats().heldKvBytes], [0, 0]);
 });
 
-test('a stalled transfer makes no progress, and giving it up frees both sides', async (t) => {
-  // The link stalls after the transfer began. The export is kept while it is read; the agent sees no
-  // progress and aborts, which frees the importer at once and the exporter, whose time is over.
+test('a stalled transfer makes no progress, and aborting it frees both sides', async (t) => {
+  // The link stalls after the transfer began. The export is kept while it is read. The agent sees no
+  // progress and aborts, which frees the memory of the importer and that of the exporter, whose export
+  // has expired.
   const { clock } = t.context;
   const { connectPeer, add } = createPeerDirectory();
   const source = createStandinEngine({ linkBytesPerSecond: 100_000_000 });
@@ -258,9 +258,9 @@
   t.is(source.stats().expiredExports, 1);
 });
 
-test('a poison prompt crashes the engine with everything that it runs', async (t) => {
-  // One prompt kills the engine as it starts. An innocent stream beside it ends without an end chunk,
-  // and later calls find nobody there.
+test('a poison prompt crashes the engine and ends everything that it runs', async (t) => {
+  // The prompt crashes the engine when it starts. A concurrent stream ends without an end chunk, and later
+  // calls are refused as not started.
   let crashes = 0;
   const engine = createStandinEngine({
     poisonMarker: '[poison]',
@@ -280,7 +280,7 @@
   t.is(engine.stats().runs.filter(({ attemptId }) => attemptId === 'b').length, 1);
 });
 
-test('orders with an old fencing number are refused only where the engine checks', async (t) => {
+test('orders with an outdated fencing number are refused only if the engine checks it', async (t) => {
   const order = { kind: 'set-role', role: 'prefill' } as const;
   const results = [true, false].map(async (checkFencing) => {
     const engine = createStandinEngine({ checkFencing, roleChangeMs: 0 });
@@ -296,7 +296,7 @@
   t.is((await ignoring?.engine.decode(decodeInput('a')))?._unsafeUnwrapErr().kind, 'not-started');
 });
 
-test('cache events come late and with gaps, loads with a lag', async (t) => {
+test('cache events are delayed and have gaps, and loads lag', async (t) => {
   const engine = createStandinEngine({ cacheEventLossRatio: 0.5, prefixCacheBlocks: 4 });
   await prefill(t.context.clock, engine, 'a');
   t.is((await engine.load())._unsafeUnwrap().heldKvBytes, 0);
--- a/packages/standins/__tests__/standinEngineServer.test.ts
+++ b/packages/standins/__tests__/standinEngineServer.test.ts
@@ -38,7 +38,7 @@
   return chunks.map((chunk) => (chunk.kind === 'token' ? chunk.text : '')).join('');
 }
 
-test('prefill, transfer and decode through three sockets give the expected text', async (t) => {
+test('prefill, transfer and decode over HTTP give the expected text', async (t) => {
   const source = await startEngine(t);
   const target = await startEngine(t);
   const input = { attemptId: 'p', model, prompt, priority: 5 };
@@ -61,9 +61,9 @@
   t.deepEqual(stats.startedDecodes, { d: 1 });
 });
 
-test('a stream whose reader left runs on until it is cancelled', async (t) => {
-  // The agent dies in the middle of a stream. The engine does not notice, as some real ones do not: the
-  // memory stays held until whoever comes next reads the list of holdings and cancels.
+test('a stream whose reader has disconnected runs on until it is cancelled', async (t) => {
+  // The agent dies in the middle of a stream. Like some real engines, this one does not notice: the memory
+  // stays held until the next agent process reads the list of holdings and cancels.
   const { client } = await startEngine(t, { stepBaseMs: 10 });
   const controller = new AbortController();
   const opened = await client.decode(decodeInput('a'), controller.signal);
@@ -78,9 +78,8 @@
   t.deepEqual((await client.streams())._unsafeUnwrap(), []);
 });
 
-test('a crash breaks streams off and refuses connections', async (t) => {
-  // The process dies while it streams. The reader gets no end chunk, and the next call, which cannot
-  // connect, certainly did not start.
+test('a crash ends streams without an end chunk and refuses connections', async (t) => {
+  // The process dies while it streams. The next call cannot connect, so it is known not to have started.
   const { server, client } = await startEngine(t);
   const opened = await client.decode(decodeInput('a'));
   const reading = collect(opened._unsafeUnwrap());
@@ -93,7 +92,7 @@
   t.is((await client.load())._unsafeUnwrapErr().kind, 'not-started');
 });
 
-test('a lost cancel answer breaks the connection after the effect', async (t) => {
+test('a cancel whose response is lost takes effect before the connection breaks', async (t) => {
   const { server, client } = await startEngine(t, { stepBaseMs: 10 });
   await client.decode(decodeInput('a'));
   server.engine.control({ loseCancelAnswers: true });
--- a/packages/standins/__tests__/standinServices.test.ts
+++ b/packages/standins/__tests__/standinServices.test.ts
@@ -39,8 +39,8 @@
   t.is(await stream.body.text(), 'line 0\nline 1\nline 2\n');
 });
 
-test('a crash of the plain service leaves its caller without an answer', async (t) => {
-  // One call kills the service. Its caller's connection breaks, and later callers are refused.
+test('a crash of the plain service breaks the connection of its caller', async (t) => {
+  // Later callers cannot connect.
   const service = await createStandinPlainService();
   await t.throwsAsync(request(`${service.address}/crash`));
   await t.throwsAsync(request(`${service.address}/balance/1`), { code: 'ECONNREFUSED' });
--- a/packages/standins/src/bin/runStandin.ts
+++ b/packages/standins/src/bin/runStandin.ts
@@ -1,4 +1,4 @@
-/** What the stand-ins' binaries share: settings to listen with, the line that tells the address, and SIGTERM. */
+/** Shared by the stand-ins' binaries: listen settings, the output line with the address, and shutdown. */
 import * as z from 'zod';
 import { exitCodes } from '@bluebellhitch/shared';
 import type { StandinServer } from '../httpServer';
@@ -17,7 +17,7 @@
 /** Text form of a boolean setting. */
 export const booleanSetting = z.enum(['true', 'false']).transform((text) => text === 'true');
 
-/** Tells the address on stdout, and exits with 0 once running answers ended after SIGTERM. */
+/** Prints the address on stdout. On SIGTERM or SIGINT exits with 0 once responses in progress have ended. */
 export function serveUntilTerminated(server: StandinServer): void {
   const line = { message: 'listening', context: { address: server.address } };
   process.stdout.write(`${JSON.stringify(line)}\n`);
--- a/packages/standins/src/bin/standinEngine.ts
+++ b/packages/standins/src/bin/standinEngine.ts
@@ -1,4 +1,4 @@
-/** `standin-engine`: the stand-in engine as a process. A poison prompt ends it with code 1. */
+/** `standin-engine`: the stand-in engine as a process. A poison prompt makes it exit with code 1. */
 import * as z from 'zod';
 import { workerRoleSchema } from '@bluebellhitch/protocol';
 import { exitCodes, loadSettingsOrExit } from '@bluebellhitch/shared';
--- a/packages/standins/src/bin/standinPlainService.ts
+++ b/packages/standins/src/bin/standinPlainService.ts
@@ -1,4 +1,4 @@
-/** `standin-plain-service`: the stand-in plain service as a process. `GET /crash` ends it with code 1. */
+/** `standin-plain-service`: the stand-in plain service as a process. `GET /crash` makes it exit with code 1. */
 import * as z from 'zod';
 import { exitCodes, loadSettingsOrExit } from '@bluebellhitch/shared';
 import { createStandinPlainService } from '../plainService/standinPlainService';
--- a/packages/standins/src/bin/standinPlatform.ts
+++ b/packages/standins/src/bin/standinPlatform.ts
@@ -1,4 +1,4 @@
-/** Binary of the stand-in platform, for the quickstart, scenarios and the bench. */
+/** `standin-platform`: the stand-in platform as a process, for the quickstart, scenarios and benchmarks. */
 import * as z from 'zod';
 import { exitCodes, loadSettingsOrExit } from '@bluebellhitch/shared';
 import { startStandinPlatform } from '../platform/startStandinPlatform';
--- a/packages/standins/src/engine/batchScheduler.ts
+++ b/packages/standins/src/engine/batchScheduler.ts
@@ -1,11 +1,11 @@
 /**
- * Continuous batching: each step decodes one token of every running stream and works off a piece of
- * one prompt, which lengthens the step for all of them.
+ * Continuous batching: each step decodes one token of every running stream and prefills one chunk of one
+ * prompt, which makes the step longer for all of them.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { KvLedger } from './kvLedger';
 
-/** One request in the batch or waiting for it. */
+/** One prefill or decode, in the batch or queued for it. */
 export interface Sequence {
   attemptId: string;
   kind: 'prefill' | 'decode';
@@ -13,14 +13,14 @@
   priority: number;
   prompt: string;
   promptTokens: number;
-  /** KV cache held; what was imported is held from the start. */
+  /** Bytes of KV cache held; an imported cache is held from the start. */
   heldKvBytes: number;
-  /** Whether the held cache covers the prompt, so that no prefill is due. */
+  /** Whether the held cache covers the prompt, so that no prefill is needed. */
   contextReady: boolean;
-  /** Output tokens so far, and the one to stop at. */
+  /** Number of output tokens so far, and the number at which to stop. */
   offset: number;
   endOffset: number;
-  /** Told when the sequence leaves the waiting line; returns the prompt tokens left to compute. */
+  /** Called when the sequence leaves the queue; returns the number of prompt tokens left to compute. */
   onStart(contextTokens: number): number;
   onPrefillTokens(tokenCount: number): void;
   onContextReady(): void;
@@ -43,14 +43,14 @@
 
 export interface BatchScheduler {
   submit(sequence: Sequence): void;
-  /** Leaves the held memory to the caller. */
+  /** Does not free the held memory; the caller does. */
   remove(sequence: Sequence): void;
   running(): readonly Sequence[];
   waiting(): readonly Sequence[];
   /** Multiplies the time of each step. */
   setSlowFactor(factor: number): void;
   setPaused(paused: boolean): void;
-  /** Call when memory became free. */
+  /** To be called when memory has been freed. */
   wake(): void;
   stop(): void;
   recentStepMs(): number;
@@ -61,10 +61,10 @@
   order: number;
   /** Prompt tokens to compute; 0 while decoding. */
   remainingTokens: number;
-  begun: boolean;
+  started: boolean;
 }
 
-/** A step that starts later than this after its due time does not catch up. */
+/** Steps that start late by up to this are shortened to catch up; later ones are not. */
 const maxCatchUpMs = 20;
 
 export function createBatchScheduler(options: BatchSchedulerOptions): BatchScheduler {
@@ -77,13 +77,13 @@
   let slowFactor = 1;
   let paused = false;
   let stopped = false;
-  let finishing = false;
+  let isFinishingStep = false;
 
   function contextTokens(sequence: Sequence): number {
     return sequence.promptTokens + sequence.offset;
   }
 
-  function takeContext(sequence: Sequence): boolean {
+  function allocateContext(sequence: Sequence): boolean {
     if (sequence.contextReady) {
       return true;
     }
@@ -98,7 +98,7 @@
   function admitWaiting(): void {
     while (!stopped && batch.length < options.slotCount) {
       const [first] = queue;
-      if (first === undefined || !takeContext(first.sequence)) {
+      if (first === undefined || !allocateContext(first.sequence)) {
         return;
       }
       queue = queue.slice(1);
@@ -111,16 +111,16 @@
     const { sequence } = slot;
     const computed = sequence.onStart(contextTokens(sequence));
     slot.remainingTokens = sequence.contextReady ? 0 : computed;
-    slot.begun = false;
+    slot.started = false;
   }
 
-  function prefillSlot(): Slot | undefined {
+  function selectPrefill(): Slot | undefined {
     return batch.filter(({ remainingTokens }) => remainingTokens > 0).sort(byUrgency)[0];
   }
 
   function schedule(): void {
-    // Callbacks of a step that is being finished free memory; the next step starts behind all of them.
-    if (timer !== undefined || finishing || paused || stopped) {
+    // The callbacks of a step that finishes free memory; the next step starts after all of them.
+    if (timer !== undefined || isFinishingStep || paused || stopped) {
       return;
     }
     admitWaiting();
@@ -128,10 +128,10 @@
       lastDueMs = Number.NEGATIVE_INFINITY;
       return;
     }
-    const prefilling = prefillSlot();
+    const prefilling = selectPrefill();
     const chunkTokens = Math.min(prefilling?.remainingTokens ?? 0, options.prefillChunkTokens);
     const decoding = batch.filter(({ remainingTokens }) => remainingTokens === 0);
-    const durationMs = stepMs(decoding.length, chunkTokens, prefilling?.begun === false);
+    const durationMs = stepMs(decoding.length, chunkTokens, prefilling?.started === false);
     const nowMs = monotonicNowMs();
     const startMs = nowMs - lastDueMs > maxCatchUpMs ? nowMs : lastDueMs;
     lastDueMs = startMs + durationMs;
@@ -142,27 +142,27 @@
     );
   }
 
-  function stepMs(streamCount: number, chunkTokens: number, prefillBegins: boolean): number {
+  function stepMs(streamCount: number, chunkTokens: number, isFirstChunk: boolean): number {
     const decodeMs =
       streamCount > 0 ? options.stepBaseMs + streamCount * options.stepPerStreamMs : 0;
-    const beginMs = prefillBegins ? options.prefillBaseMs : 0;
-    return (decodeMs + beginMs + chunkTokens * options.prefillMsPerToken) * slowFactor;
+    const prefillStartMs = isFirstChunk ? options.prefillBaseMs : 0;
+    return (decodeMs + prefillStartMs + chunkTokens * options.prefillMsPerToken) * slowFactor;
   }
 
   function finishStep(decoding: Slot[], prefilling: Slot | undefined, chunkTokens: number): void {
     timer = undefined;
-    finishing = true;
+    isFinishingStep = true;
     decoding.forEach(decodeToken);
     if (prefilling !== undefined && batch.includes(prefilling)) {
       finishChunk(prefilling, chunkTokens);
     }
-    finishing = false;
+    isFinishingStep = false;
     options.onStep();
     schedule();
   }
 
   function finishChunk(slot: Slot, chunkTokens: number): void {
-    slot.begun = true;
+    slot.started = true;
     slot.remainingTokens -= chunkTokens;
     slot.sequence.onPrefillTokens(chunkTokens);
     if (slot.remainingTokens > 0) {
@@ -170,7 +170,7 @@
     }
     slot.sequence.contextReady = true;
     if (slot.sequence.kind === 'prefill') {
-      leave(slot);
+      removeFromBatch(slot);
     }
     slot.sequence.onContextReady();
   }
@@ -188,12 +188,12 @@
       sequence.onToken(sequence.offset - 1);
     }
     if (sequence.offset >= sequence.endOffset) {
-      leave(slot);
+      removeFromBatch(slot);
       sequence.onFinished();
     }
   }
 
-  /** Makes room for one more token, at the cost of the least urgent stream. */
+  /** Allocates memory for one more token, preempting the least urgent streams if there is none. */
   function growOrPreempt(slot: Slot): boolean {
     while (!options.ledger.take(options.kvBytesPerToken)) {
       const victim = batch
@@ -213,7 +213,7 @@
   }
 
   function preempt(slot: Slot): void {
-    leave(slot);
+    removeFromBatch(slot);
     options.ledger.give(slot.sequence.heldKvBytes);
     slot.sequence.heldKvBytes = 0;
     slot.sequence.contextReady = false;
@@ -221,7 +221,7 @@
     enqueue(slot);
   }
 
-  function leave(slot: Slot): void {
+  function removeFromBatch(slot: Slot): void {
     batch = batch.filter((other) => other !== slot);
   }
 
@@ -232,7 +232,7 @@
   return {
     submit: (sequence) => {
       nextOrder += 1;
-      enqueue({ sequence, order: nextOrder, remainingTokens: 0, begun: false });
+      enqueue({ sequence, order: nextOrder, remainingTokens: 0, started: false });
       schedule();
     },
     remove: (sequence) => {
--- a/packages/standins/src/engine/chunkQueue.ts
+++ b/packages/standins/src/engine/chunkQueue.ts
@@ -1,8 +1,8 @@
-/** Hands a producer's values to one consumer, which may leave early. */
+/** A queue from one producer to one consumer, which may stop reading early. */
 
 export interface ChunkQueue<Value> extends AsyncIterable<Value> {
   push(value: Value): void;
-  /** No value follows; what was pushed is still delivered. */
+  /** Ends the queue; values pushed before are still delivered. */
   end(): void;
 }
 
--- a/packages/standins/src/engine/engineOptions.ts
+++ b/packages/standins/src/engine/engineOptions.ts
@@ -1,17 +1,17 @@
-/** Options of the stand-in engine. Their defaults give about twenty usual requests a full memory. */
+/** Options of the stand-in engine. With the defaults, about twenty typical requests fill the memory. */
 import type { ResultAsync } from 'neverthrow';
 import type { EngineError } from '@bluebellhitch/engine';
 import type { WorkerRole } from '@bluebellhitch/protocol';
 
-/** A running transfer of KV cache from another engine. */
+/** A transfer of KV cache from another engine, in progress. */
 export interface KvTransfer {
   totalBytes: number;
   promptTokens: number;
-  /** Sizes of the pieces as they arrive; fewer than `totalBytes` in all means a broken transfer. */
+  /** Sizes of the pieces as they arrive; if they add up to less than `totalBytes`, the transfer failed. */
   pieces: AsyncIterable<number>;
 }
 
-/** Another engine, as the source of KV cache. */
+/** Another engine, as a source of KV cache. */
 export interface KvPeer {
   openExport(
     exportId: string,
@@ -22,7 +22,7 @@
 
 export interface StandinEngineOptions {
   role?: WorkerRole;
-  /** Models that are loaded from the start. */
+  /** Models loaded at the start. */
   models?: { model: string; version: string }[];
   slotCount?: number;
   capacityKvBytes?: number;
@@ -32,31 +32,31 @@
   stepPerStreamMs?: number;
   prefillBaseMs?: number;
   prefillMsPerToken?: number;
-  /** Prompt tokens that one step works off beside the decode streams. */
+  /** Maximum number of prompt tokens that one step prefills beside the decode streams. */
   prefillChunkTokens?: number;
-  /** How long a prefill's result is kept for a transfer to begin. */
+  /** How long the result of a prefill is kept; longer only while a transfer reads it. */
   exportKeptForMs?: number;
   linkBytesPerSecond?: number;
   transferPieceBytes?: number;
   prefixCacheBlocks?: number;
   cacheEventDelayMs?: number;
-  /** Share of cache events that are lost. */
+  /** Fraction of cache events that are lost. */
   cacheEventLossRatio?: number;
   loadLagMs?: number;
-  /** Waiting requests beyond the batch; more are refused. */
+  /** Maximum number of requests queued beside the batch; more are refused. */
   queueLimit?: number;
-  /** Whether orders with an old fencing number are refused. */
+  /** Whether orders with an outdated fencing number are refused. */
   checkFencing?: boolean;
   modelLoadMs?: number;
   adapterLoadMs?: number;
   roleChangeMs?: number;
   /** Whether a closed connection cancels its prefill or decode; otherwise they run on. */
   cancelOnDisconnect?: boolean;
-  /** A prompt that contains this text crashes the engine as soon as it runs. */
+  /** A prompt that contains this text crashes the engine when it starts to run. */
   poisonMarker?: string;
   seed?: number;
   connectPeer?: (kvAddress: string) => KvPeer;
-  /** Reads a model's weights; absent: a load takes `modelLoadMs`. */
+  /** Reads a model's weights; if absent, a load takes `modelLoadMs`. */
   readWeights?: (model: string, version: string) => ResultAsync<void, EngineError>;
   onCrash?: () => void;
 }
--- a/packages/standins/src/engine/engineOrders.ts
+++ b/packages/standins/src/engine/engineOrders.ts
@@ -1,4 +1,4 @@
-/** Orders to the engine: models, adapters and its role, guarded by fencing numbers where asked. */
+/** Orders to the engine: models, adapters and its role. Optionally checks fencing numbers. */
 import { err, ok, type Result } from 'neverthrow';
 import type { EngineError } from '@bluebellhitch/engine';
 import type { EngineOrder, WorkerRole } from '@bluebellhitch/protocol';
@@ -22,7 +22,7 @@
   received(): ReceivedOrder[];
 }
 
-const historyLimit = 500;
+const maxReceivedOrders = 500;
 
 export function createEngineOrders(settings: EngineSettings, onChange: () => void): EngineOrders {
   const versions = new Map(settings.models.map(({ model, version }) => [model, version]));
@@ -31,9 +31,9 @@
   let { role } = settings;
   let highestFencingNumber = 0;
 
-  function remember(received: ReceivedOrder): void {
+  function recordOrder(received: ReceivedOrder): void {
     history.push(received);
-    if (history.length > historyLimit) {
+    if (history.length > maxReceivedOrders) {
       history.shift();
     }
   }
@@ -62,7 +62,7 @@
     return ok(undefined);
   }
 
-  async function carryOut(order: EngineOrder): Promise<Result<void, EngineError>> {
+  async function execute(order: EngineOrder): Promise<Result<void, EngineError>> {
     switch (order.kind) {
       case 'load-model':
         return loadModel(order.model, order.version);
@@ -83,12 +83,12 @@
   return {
     run: async (order, fencingNumber) => {
       const accepted = !settings.checkFencing || fencingNumber >= highestFencingNumber;
-      remember({ order, fencingNumber, accepted });
+      recordOrder({ order, fencingNumber, accepted });
       if (!accepted) {
         return err({ kind: 'stale-order', highestFencingNumber });
       }
       highestFencingNumber = Math.max(highestFencingNumber, fencingNumber);
-      const result = await carryOut(order);
+      const result = await execute(order);
       onChange();
       return result;
     },
--- a/packages/standins/src/engine/engineRuns.ts
+++ b/packages/standins/src/engine/engineRuns.ts
@@ -1,4 +1,4 @@
-/** Prefills and decodes of the stand-in engine: from their acceptance to their end or cancellation. */
+/** Prefills and decodes of the stand-in engine, from acceptance to completion or cancellation. */
 import { err, ok, type Result } from 'neverthrow';
 import type {
   DecodeInput,
@@ -28,7 +28,7 @@
   exports: ExportStore;
   imports: KvImports;
   stats: StatsRecorder;
-  /** Told before a prompt runs; may stop the engine. */
+  /** Called before a prompt runs; may stop the engine. */
   onRun: (prompt: string) => void;
   onChange: () => void;
 }
@@ -38,17 +38,17 @@
   decode(input: DecodeInput, signal?: AbortSignal): Result<AsyncIterable<EngineChunk>, EngineError>;
   resume(input: ResumeInput, signal?: AbortSignal): Result<AsyncIterable<EngineChunk>, EngineError>;
   cancel(attemptId: string): void;
-  /** Ends all streams without their end marker, and all prefills with `error`. */
+  /** Ends all streams, without an end marker, and fails all prefills with `error`. */
   endAll(error: EngineError): void;
   holdings(): EngineHolding[];
 }
 
 interface Run {
   sequence: Sequence;
-  /** Prompt tokens that this run computed, while nobody has used them. */
+  /** Prompt tokens that this run computed and whose result has not been used yet. */
   unusedTokens: number;
-  /** Ends the answer early. */
-  breakOff: (error: EngineError) => void;
+  /** Ends the response early. */
+  abort: (error: EngineError) => void;
 }
 
 interface DecodeStart {
@@ -57,7 +57,7 @@
   emittedTokens: number;
 }
 
-const abortedByCaller: EngineError = { kind: 'failed', detail: 'aborted by the caller' };
+const abortedByCallerError: EngineError = { kind: 'failed', detail: 'aborted by the caller' };
 
 export function createEngineRuns(options: EngineRunsOptions): EngineRuns {
   const { settings, scheduler, ledger, cache, exports, imports, stats } = options;
@@ -106,7 +106,7 @@
     return Math.max(contextTokens - matchedTokens, 1);
   }
 
-  function refusal(
+  function findRefusal(
     kind: Sequence['kind'],
     attemptId: string,
     prompt: string,
@@ -139,13 +139,13 @@
     input: PrefillInput,
     signal?: AbortSignal,
   ): Promise<Result<PrefillResult, EngineError>> {
-    const refused = refusal('prefill', input.attemptId, input.prompt);
+    const refused = findRefusal('prefill', input.attemptId, input.prompt);
     if (refused !== undefined) {
       return Promise.resolve(err(refused));
     }
     const sequence = newSequence('prefill', input);
     return new Promise((resolve) => {
-      const breakOff = (error: EngineError) => resolve(err(error));
+      const abort = (error: EngineError) => resolve(err(error));
       const { onStart, onContextReady } = sequence;
       let cachedTokens = 0;
       sequence.onStart = (contextTokens) => {
@@ -157,7 +157,7 @@
         onContextReady();
         resolve(ok(finishPrefill(sequence, cachedTokens)));
       };
-      submit({ sequence, unusedTokens: 0, breakOff }, signal);
+      submit({ sequence, unusedTokens: 0, abort }, signal);
     });
   }
 
@@ -165,7 +165,7 @@
     const key = runKey(run.sequence.kind, run.sequence.attemptId);
     runs.set(key, run);
     signal?.addEventListener('abort', () => {
-      run.breakOff(abortedByCaller);
+      run.abort(abortedByCallerError);
       if (settings.cancelOnDisconnect && runs.get(key) === run) {
         cancelRun(key);
       }
@@ -179,7 +179,7 @@
     signal?: AbortSignal,
   ): Result<AsyncIterable<EngineChunk>, EngineError> {
     const { attemptId } = input;
-    const refused = refusal('decode', attemptId, input.prompt);
+    const refused = findRefusal('decode', attemptId, input.prompt);
     if (refused !== undefined) {
       return err(refused);
     }
@@ -190,7 +190,7 @@
     const output = expectedOutput(input.prompt, input.model, emittedTokens + input.maxOutputTokens);
     const chunks = createChunkQueue<EngineChunk>();
     const sequence = newSequence('decode', input);
-    const run: Run = { sequence, unusedTokens: 0, breakOff: () => chunks.end() };
+    const run: Run = { sequence, unusedTokens: 0, abort: () => chunks.end() };
     sequence.heldKvBytes = claimed?.heldKvBytes ?? 0;
     sequence.contextReady = claimed !== undefined;
     sequence.offset = emittedTokens;
@@ -231,7 +231,7 @@
     if (run.sequence.kind === 'decode') {
       stats.add('cancelledDecodes');
     }
-    run.breakOff(error);
+    run.abort(error);
     options.onChange();
   }
 
--- a/packages/standins/src/engine/engineStats.ts
+++ b/packages/standins/src/engine/engineStats.ts
@@ -1,7 +1,7 @@
-/** Accounting that tests read: how often something ran and what was thrown away. */
+/** Statistics that tests read: what ran, how often, and how much work was wasted. */
 import { hash64Hex } from '@bluebellhitch/shared';
 
-/** One time that a prompt was worked on. */
+/** One start of a prefill or decode. */
 export interface EngineRun {
   attemptId: string;
   kind: 'prefill' | 'decode';
@@ -17,12 +17,12 @@
   startedDecodes: Record<string, number>;
   completedDecodes: number;
   cancelledDecodes: number;
-  /** Prefill results dropped because no transfer began in time. */
+  /** Prefill results dropped because they were not fetched in time. */
   expiredExports: number;
   prefillTokens: number;
-  /** Prefilled tokens whose result was never used. */
+  /** Prefilled tokens whose result was not used. */
   wastedPrefillTokens: number;
-  /** Streams that gave up their memory to more urgent ones and began again later. */
+  /** How often a stream lost its memory to a more urgent one and was queued again. */
   preemptions: number;
   runs: EngineRun[];
 }
@@ -43,7 +43,7 @@
   read(): Omit<EngineStats, 'heldKvBytes' | 'peakHeldKvBytes' | 'capacityKvBytes'>;
 }
 
-const historyLimit = 2000;
+const maxHistoryEntries = 2000;
 
 export function createStatsRecorder(): StatsRecorder {
   const counters: Counters = {
@@ -60,7 +60,7 @@
   function countDecode(attemptId: string): void {
     startedDecodes.set(attemptId, (startedDecodes.get(attemptId) ?? 0) + 1);
     const [oldest] = startedDecodes.keys();
-    if (startedDecodes.size > historyLimit && oldest !== undefined) {
+    if (startedDecodes.size > maxHistoryEntries && oldest !== undefined) {
       startedDecodes.delete(oldest);
     }
   }
@@ -71,7 +71,7 @@
     },
     recordRun: (kind, attemptId, prompt) => {
       runs.push({ kind, attemptId, promptDigest: hash64Hex(prompt) });
-      if (runs.length > historyLimit) {
+      if (runs.length > maxHistoryEntries) {
         runs.shift();
       }
       if (kind === 'decode') {
--- a/packages/standins/src/engine/exportStore.ts
+++ b/packages/standins/src/engine/exportStore.ts
@@ -1,4 +1,4 @@
-/** Results of prefills: kept for a short while, longer only while a transfer reads them. */
+/** Results of prefills, kept for a limited time, and beyond it only while a transfer reads them. */
 import type { KvLedger } from './kvLedger';
 import type { StatsRecorder } from './engineStats';
 
@@ -7,7 +7,7 @@
   attemptId: string;
   kvBytes: number;
   promptTokens: number;
-  /** Tokens that this prefill computed itself; they are wasted if nobody fetches the result. */
+  /** Tokens that this prefill computed itself; they count as wasted if the result is never fetched. */
   computedTokens: number;
 }
 
@@ -19,10 +19,10 @@
 }
 
 export interface ExportStore {
-  /** Takes over the memory that the prefill held. */
+  /** Takes ownership of the memory that the prefill held. */
   add(kvExport: KvExport): void;
   get(exportId: string): KvExport | undefined;
-  /** Keeps the export while it is read; call the result at the end of the transfer. */
+  /** Keeps the export while it is read. The returned function must be called when the transfer ends. */
   beginRead(exportId: string): (fetchedAll: boolean) => void;
   drop(exportId: string): void;
   dropAttempt(attemptId: string): void;
--- a/packages/standins/src/engine/kvExporter.ts
+++ b/packages/standins/src/engine/kvExporter.ts
@@ -1,4 +1,4 @@
-/** Sends exports to other engines over this engine's shared link. */
+/** Sends exports to other engines over the link that all of this engine's transfers share. */
 import { err, ok, type Result } from 'neverthrow';
 import type { EngineError } from '@bluebellhitch/engine';
 import type { KvTransfer } from './engineOptions';
@@ -11,7 +11,7 @@
   pieceBytes: number;
 }
 
-/** Opens a transfer that is paced by the link and by `rateBytesPerSecond`. */
+/** Opens a transfer whose rate is limited by the link and by `rateBytesPerSecond`. */
 export function openKvTransfer(
   options: KvExporterOptions,
   exportId: string,
@@ -23,9 +23,9 @@
     return err({ kind: 'gone', detail: `no export ${exportId}` });
   }
   const { kvBytes: totalBytes, promptTokens } = kvExport;
-  const pace = createRateLimitedLink(rateBytesPerSecond);
+  const transferLimit = createRateLimitedLink(rateBytesPerSecond);
   const pieces = sendPieces(options, exportId, totalBytes, signal, (bytes) =>
-    Promise.all([options.link.pass(bytes, signal), pace.pass(bytes, signal)]),
+    Promise.all([options.link.transmit(bytes, signal), transferLimit.transmit(bytes, signal)]),
   );
   return ok({ totalBytes, promptTokens, pieces });
 }
@@ -35,14 +35,14 @@
   exportId: string,
   totalBytes: number,
   signal: AbortSignal,
-  pass: (bytes: number) => Promise<unknown>,
+  transmit: (bytes: number) => Promise<unknown>,
 ): AsyncGenerator<number, void, undefined> {
   const endRead = options.exports.beginRead(exportId);
   let sentBytes = 0;
   try {
     while (sentBytes < totalBytes) {
       const bytes = Math.min(options.pieceBytes, totalBytes - sentBytes);
-      await pass(bytes);
+      await transmit(bytes);
       if (signal.aborted || options.exports.get(exportId) === undefined) {
         return;
       }
--- a/packages/standins/src/engine/kvImports.ts
+++ b/packages/standins/src/engine/kvImports.ts
@@ -1,4 +1,4 @@
-/** KV cache imported from other engines, held until a decode takes it over or a cancel drops it. */
+/** KV cache imported from other engines, held until a decode claims it or a cancel drops it. */
 import { err, ok, type Result } from 'neverthrow';
 import type {
   EngineError,
@@ -23,7 +23,7 @@
     onProgress: (progress: ImportProgress) => void,
     signal?: AbortSignal,
   ): Promise<Result<ImportProgress, EngineError>>;
-  /** Hands a finished import, with its memory, to the caller. */
+  /** Removes a finished import and passes the ownership of its memory to the caller. */
   claim(attemptId: string): { heldKvBytes: number } | undefined;
   drop(attemptId: string): void;
   holdings(): EngineHolding[];
@@ -57,20 +57,20 @@
   ): Promise<number> {
     const { totalBytes } = transfer;
     let receivedBytes = 0;
-    let passed = Promise.resolve();
+    let transmitted = Promise.resolve();
     const advance = (bytes: number) => {
       receivedBytes += bytes;
       onProgress({ receivedBytes, totalBytes, done: false });
     };
     for await (const bytes of transfer.pieces) {
-      await passed;
+      await transmitted;
       if (signal.aborted) {
         break;
       }
-      // The next piece is on its way while this one passes the link.
-      passed = options.link.pass(bytes, signal).then(() => advance(bytes));
+      // The next piece is read while the link transmits this one.
+      transmitted = options.link.transmit(bytes, signal).then(() => advance(bytes));
     }
-    await passed;
+    await transmitted;
     return receivedBytes;
   }
 
@@ -115,12 +115,12 @@
       }
       const entry: Entry = { heldKvBytes: 0, done: false, controller: new AbortController() };
       entries.set(attemptId, entry);
-      const dropThis = () => entries.get(attemptId) === entry && drop(attemptId);
-      signal?.addEventListener('abort', dropThis);
+      const dropEntry = () => entries.get(attemptId) === entry && drop(attemptId);
+      signal?.addEventListener('abort', dropEntry);
       const result = await transferInto(entry, input, onProgress);
-      signal?.removeEventListener('abort', dropThis);
+      signal?.removeEventListener('abort', dropEntry);
       if (result.isErr()) {
-        dropThis();
+        dropEntry();
       }
       return result;
     },
--- a/packages/standins/src/engine/kvLedger.ts
+++ b/packages/standins/src/engine/kvLedger.ts
@@ -1,8 +1,8 @@
-/** Counts the engine's KV memory. */
+/** Accounts for the engine's KV memory. */
 import { invariant } from '@bluebellhitch/shared';
 
 export interface KvLedger {
-  /** Takes `bytes` unless they would exceed the capacity. */
+  /** Allocates `bytes`; returns false if they would exceed the capacity. */
   take(bytes: number): boolean;
   give(bytes: number): void;
   heldBytes(): number;
--- a/packages/standins/src/engine/loadHistory.ts
+++ b/packages/standins/src/engine/loadHistory.ts
@@ -1,11 +1,11 @@
-/** Reports a load that lags behind the truth. */
+/** Reports the engine's load with a lag. */
 import type { EngineLoad } from '@bluebellhitch/engine';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
 type CurrentLoad = Omit<EngineLoad, 'ageMs'>;
 
 export interface LoadHistory {
-  /** Call after each change. */
+  /** To be called after each change of the load. */
   record(): void;
   report(): EngineLoad;
 }
--- a/packages/standins/src/engine/prefixCache.ts
+++ b/packages/standins/src/engine/prefixCache.ts
@@ -1,30 +1,33 @@
-/** Prefix cache of limited blocks with least-recently-used eviction, and its late, gappy events. */
+/**
+ * Prefix cache with a bounded number of blocks and least-recently-used eviction. Its events are published
+ * with a delay, and some are lost.
+ */
 import type { CacheEvent } from '@bluebellhitch/engine';
 import { monotonicNowMs, type Random } from '@bluebellhitch/shared';
 
 export interface PrefixCacheOptions {
-  blockLimit: number;
+  maxBlocks: number;
   eventDelayMs: number;
   eventLossRatio: number;
   random: Random;
 }
 
 export interface PrefixCache {
-  /** Number of leading blocks that are cached; uses them. */
+  /** Returns the number of leading blocks that are cached, and marks them as used. */
   matchedBlocks(blocks: readonly string[]): number;
   store(blocks: readonly string[]): void;
   clear(): void;
-  /** Events after `sinceSequence` that are due by now; lost ones leave a gap in the sequence. */
+  /** Published events after `sinceSequence`; lost ones leave a gap in the sequence. */
   eventsSince(sinceSequence: number): CacheEvent[];
 }
 
 type UnnumberedEvent =
   { kind: 'stored'; block: string } | { kind: 'evicted'; block: string } | { kind: 'cleared' };
 
-const eventHistoryLimit = 4096;
+const maxEvents = 4096;
 
 export function createPrefixCache(options: PrefixCacheOptions): PrefixCache {
-  /** Insertion order is the order of use. */
+  /** In the order of use, the least recently used block first. */
   const blocksByUse = new Set<string>();
   const history: { dueAtMs: number; event: CacheEvent }[] = [];
   let lastSequence = 0;
@@ -36,7 +39,7 @@
     }
     const dueAtMs = monotonicNowMs() + options.eventDelayMs;
     history.push({ dueAtMs, event: { ...event, sequence: lastSequence } });
-    if (history.length > eventHistoryLimit) {
+    if (history.length > maxEvents) {
       history.shift();
     }
   }
@@ -49,12 +52,12 @@
     }
   }
 
-  function use(block: string): void {
+  function touch(block: string): void {
     if (!blocksByUse.delete(block)) {
       publish({ kind: 'stored', block });
     }
     blocksByUse.add(block);
-    if (blocksByUse.size > options.blockLimit) {
+    if (blocksByUse.size > options.maxBlocks) {
       evictOldest();
     }
   }
@@ -63,10 +66,10 @@
     matchedBlocks: (blocks) => {
       const firstMiss = blocks.findIndex((block) => !blocksByUse.has(block));
       const matched = firstMiss === -1 ? blocks.length : firstMiss;
-      blocks.slice(0, matched).forEach(use);
+      blocks.slice(0, matched).forEach(touch);
       return matched;
     },
-    store: (blocks) => blocks.forEach(use),
+    store: (blocks) => blocks.forEach(touch),
     clear: () => {
       blocksByUse.clear();
       publish({ kind: 'cleared' });
--- a/packages/standins/src/engine/rateLimitedLink.ts
+++ b/packages/standins/src/engine/rateLimitedLink.ts
@@ -1,10 +1,10 @@
-/** A link of limited rate that its users share in the order of their pieces. */
+/** A link of limited rate that transmits the pieces of all its users in the order of their calls. */
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
 
 export interface RateLimitedLink {
-  /** Resolves once `bytes` have passed; at once, without having passed, when `signal` aborts. */
-  pass(bytes: number, signal?: AbortSignal): Promise<void>;
-  /** While stalled nothing passes. */
+  /** Resolves when `bytes` have been transmitted, or, without that, as soon as `signal` aborts. */
+  transmit(bytes: number, signal?: AbortSignal): Promise<void>;
+  /** A stalled link transmits nothing. */
   setStalled(stalled: boolean): void;
 }
 
@@ -30,7 +30,7 @@
   }
 
   return {
-    pass: async (bytes, signal) => {
+    transmit: async (bytes, signal) => {
       await waitWhileStalled(signal);
       const nowMs = monotonicNowMs();
       freeAtMs = Math.max(freeAtMs, nowMs) + (bytes / rateBytesPerSecond) * msPerSecond;
--- a/packages/standins/src/engine/standinEngine.ts
+++ b/packages/standins/src/engine/standinEngine.ts
@@ -1,7 +1,7 @@
 /**
- * A model engine without a model: the time, memory and failures of a real one over a deterministic
- * output. Works on the runtime's clock alone, so that tests can pause it, and serves as an
- * `EngineApi` within the process.
+ * A model engine without a model: simulates the timing, memory use and failures of a real one, with
+ * deterministic output. It depends on the runtime's timers and clock only, so that tests can fake them,
+ * and implements `EngineApi` within the process.
  */
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import type { EngineApi, EngineError, EngineHolding } from '@bluebellhitch/engine';
@@ -23,7 +23,7 @@
 export interface StandinEngine extends EngineApi, KvPeer {
   stats(): EngineStats & { orders: ReceivedOrder[] };
   control(control: EngineControl): void;
-  /** Ends every answer without its end marker and refuses all later calls. */
+  /** Ends every response without its end marker and refuses all later calls. */
   crash(): void;
   /** Resolves when the engine crashes. */
   crashed: Promise<void>;
@@ -46,16 +46,16 @@
     failOrders: false,
   };
   let isDown = false;
-  let announceCrash: () => void = () => undefined;
+  let resolveCrashed: () => void = () => undefined;
   const crashed = new Promise<void>((resolve) => {
-    announceCrash = resolve;
+    resolveCrashed = resolve;
   });
 
   const ledger = createKvLedger(settings.capacityKvBytes);
   const stats = createStatsRecorder();
   const link = createRateLimitedLink(settings.linkBytesPerSecond);
   const cache = createPrefixCache({
-    blockLimit: settings.prefixCacheBlocks,
+    maxBlocks: settings.prefixCacheBlocks,
     eventDelayMs: settings.cacheEventDelayMs,
     eventLossRatio: settings.cacheEventLossRatio,
     random: createSeededRandom(settings.seed),
@@ -116,11 +116,11 @@
     runs.endAll(diedError);
     imports.clear();
     exports.clear();
-    announceCrash();
+    resolveCrashed();
     settings.onCrash?.();
   }
 
-  function guard<Value>(
+  function runWhileUp<Value>(
     run: () => Promise<Result<Value, EngineError>> | Result<Value, EngineError>,
   ): ResultAsync<Value, EngineError> {
     return new ResultAsync(
@@ -129,13 +129,13 @@
           return err(downError);
         }
         const result = await run();
-        // What was under way when the engine crashed gets no answer.
+        // A call that was in progress when the engine crashed gets no response.
         return isDown && result.isOk() ? err(diedError) : result;
       })(),
     );
   }
 
-  function workRefusal(model: string, kind: 'prefill' | 'decode'): EngineError | undefined {
+  function findWorkRefusal(model: string, kind: 'prefill' | 'decode'): EngineError | undefined {
     const role = orders.role();
     if (faults.refuseWork) {
       return refusedError;
@@ -149,13 +149,13 @@
     return undefined;
   }
 
-  function guardWork<Value>(
+  function startWork<Value>(
     model: string,
     kind: 'prefill' | 'decode',
     run: () => Promise<Result<Value, EngineError>> | Result<Value, EngineError>,
   ): ResultAsync<Value, EngineError> {
-    return guard<Value>(() => {
-      const refused = workRefusal(model, kind);
+    return runWhileUp<Value>(() => {
+      const refused = findWorkRefusal(model, kind);
       return refused === undefined ? run() : err(refused);
     });
   }
@@ -172,7 +172,7 @@
       : ok(undefined);
   }
 
-  function useExport(exportId: string, action: 'keep' | 'drop'): Result<void, EngineError> {
+  function updateExport(exportId: string, action: 'keep' | 'drop'): Result<void, EngineError> {
     if (action === 'drop') {
       exports.drop(exportId);
       return ok(undefined);
@@ -216,23 +216,24 @@
 
   return {
     prefill: (input, signal) =>
-      guardWork(input.model, 'prefill', () => runs.prefill(input, signal)),
-    exportKv: (exportId, action) => guard(() => useExport(exportId, action)),
-    importKv: (input, onProgress, signal) => guard(() => imports.run(input, onProgress, signal)),
-    decode: (input, signal) => guardWork(input.model, 'decode', () => runs.decode(input, signal)),
-    resume: (input, signal) => guardWork(input.model, 'decode', () => runs.resume(input, signal)),
-    cancel: (attemptId) => guard(() => cancel(attemptId)),
-    streams: () => guard(() => ok(holdings())),
-    load: () => guard(() => ok(loadHistory.report())),
-    cacheEvents: (sinceSequence) => guard(() => ok(cache.eventsSince(sinceSequence))),
+      startWork(input.model, 'prefill', () => runs.prefill(input, signal)),
+    exportKv: (exportId, action) => runWhileUp(() => updateExport(exportId, action)),
+    importKv: (input, onProgress, signal) =>
+      runWhileUp(() => imports.run(input, onProgress, signal)),
+    decode: (input, signal) => startWork(input.model, 'decode', () => runs.decode(input, signal)),
+    resume: (input, signal) => startWork(input.model, 'decode', () => runs.resume(input, signal)),
+    cancel: (attemptId) => runWhileUp(() => cancel(attemptId)),
+    streams: () => runWhileUp(() => ok(holdings())),
+    load: () => runWhileUp(() => ok(loadHistory.report())),
+    cacheEvents: (sinceSequence) => runWhileUp(() => ok(cache.eventsSince(sinceSequence))),
     order: (order, fencingNumber) =>
-      guard<void>(() =>
+      runWhileUp<void>(() =>
         faults.failOrders
           ? err({ kind: 'failed', detail: 'the order failed' })
           : orders.run(order, fencingNumber),
       ),
     openExport: (exportId, rateBytesPerSecond, signal) =>
-      guard(() => {
+      runWhileUp(() => {
         const exporter = { exports, link, pieceBytes: settings.transferPieceBytes };
         return openKvTransfer(exporter, exportId, rateBytesPerSecond, signal);
       }),
@@ -249,7 +250,7 @@
   };
 }
 
-/** Lets engines of one process fetch KV cache from each other, by made-up addresses. */
+/** Lets engines in one process fetch KV cache from each other, under addresses of the caller's choice. */
 export function createPeerDirectory(): {
   connectPeer: (kvAddress: string) => KvPeer;
   add: (kvAddress: string, peer: KvPeer) => void;
--- a/packages/standins/src/engine/standinEngineServer.ts
+++ b/packages/standins/src/engine/standinEngineServer.ts
@@ -1,4 +1,4 @@
-/** The stand-in engine's HTTP interface, in the wire format of `engineWire.ts`. */
+/** HTTP interface of the stand-in engine, in the wire format of `engineWire.ts`. */
 import { Hono, type Context } from 'hono';
 import type { Result, ResultAsync } from 'neverthrow';
 import type { z } from 'zod';
@@ -18,7 +18,7 @@
   type KvEvent,
 } from '@bluebellhitch/engine';
 import {
-  breakConnection,
+  abortConnection,
   disconnectSignal,
   listen,
   sendEvents,
@@ -33,7 +33,7 @@
 import { createStandinEngine, type StandinEngine } from './standinEngine';
 
 export interface StandinEngineServerOptions extends ListenOptions, StandinEngineOptions {
-  /** An engine made by the caller; absent: one is made from the other options. */
+  /** The engine to serve; if absent, one is created from the other options. */
   engine?: StandinEngine;
 }
 
@@ -43,12 +43,13 @@
 
 type EngineContext = Context<NodeEnvironment>;
 
-/** Serves an engine until it is closed or crashes; a crash breaks all connections. */
+/** Serves an engine until the server is closed or the engine crashes, which destroys all connections. */
 export async function createStandinEngineServer(
   options: StandinEngineServerOptions = {},
 ): Promise<StandinEngineServer> {
-  const { host, port, engine: given, ...engineOptions } = options;
-  const engine = given ?? createStandinEngine({ connectPeer: createHttpKvPeer, ...engineOptions });
+  const { host, port, engine: suppliedEngine, ...engineOptions } = options;
+  const engine =
+    suppliedEngine ?? createStandinEngine({ connectPeer: createHttpKvPeer, ...engineOptions });
   const server = await listen(createEngineApp(engine), { host, port });
   engine.crashed.then(server.destroy, () => undefined);
   return { ...server, engine };
@@ -72,22 +73,22 @@
 function addWorkRoutes(app: Hono<NodeEnvironment>, engine: StandinEngine): void {
   app.post(enginePaths.prefill, (context) =>
     withBody(context, prefillBodySchema, (input) =>
-      answer(context, engine.prefill(input, disconnectSignal(context))),
+      respond(context, engine.prefill(input, disconnectSignal(context))),
     ),
   );
   app.post(enginePaths.decode, (context) =>
     withBody(context, decodeBodySchema, (input) =>
-      answerStream(context, engine.decode(input, disconnectSignal(context))),
+      respondWithStream(context, engine.decode(input, disconnectSignal(context))),
     ),
   );
   app.post(enginePaths.resume, (context) =>
     withBody(context, resumeBodySchema, (input) =>
-      answerStream(context, engine.resume(input, disconnectSignal(context))),
+      respondWithStream(context, engine.resume(input, disconnectSignal(context))),
     ),
   );
   app.post(enginePaths.cancel, (context) =>
     withBody(context, cancelBodySchema, ({ attemptId }) =>
-      answer(context, engine.cancel(attemptId)),
+      respond(context, engine.cancel(attemptId)),
     ),
   );
 }
@@ -95,7 +96,7 @@
 function addTransferRoutes(app: Hono<NodeEnvironment>, engine: StandinEngine): void {
   app.post(`${enginePaths.exports}/:exportId`, (context) =>
     withBody(context, exportBodySchema, ({ action }) =>
-      answer(context, engine.exportKv(context.req.param('exportId'), action)),
+      respond(context, engine.exportKv(context.req.param('exportId'), action)),
     ),
   );
   app.post(enginePaths.import, (context) =>
@@ -116,29 +117,29 @@
     const opened = await engine.openExport(exportId, rateBytesPerSecond, disconnectSignal(context));
     return opened.match(
       (transfer) => sendEvents(context, kvEvents(transfer)),
-      (error) => answerError(context, error),
+      (error) => respondWithError(context, error),
     );
   });
 }
 
 function addStateRoutes(app: Hono<NodeEnvironment>, engine: StandinEngine): void {
   app.get(enginePaths.holdings, (context) =>
-    answer(
+    respond(
       context,
       engine.streams().map((holdings) => ({ holdings })),
     ),
   );
-  app.get(enginePaths.load, (context) => answer(context, engine.load()));
+  app.get(enginePaths.load, (context) => respond(context, engine.load()));
   app.get(enginePaths.cacheEvents, (context) => {
     const sinceSequence = Number(context.req.query('since') ?? 0);
-    return answer(
+    return respond(
       context,
       engine.cacheEvents(sinceSequence).map((events) => ({ events })),
     );
   });
   app.post(enginePaths.orders, (context) =>
     withBody(context, orderBodySchema, ({ order, fencingNumber }) =>
-      answer(context, engine.order(order, fencingNumber)),
+      respond(context, engine.order(order, fencingNumber)),
     ),
   );
 }
@@ -155,44 +156,44 @@
     : context.json({ error: { kind: 'failed', detail: parsed.error.message } }, 400);
 }
 
-async function answer<Value>(
+async function respond<Value>(
   context: EngineContext,
   result: ResultAsync<Value, EngineError>,
 ): Promise<Response> {
   const settled: Result<Value, EngineError> = await result;
   return settled.match(
     (value) => context.json(value ?? {}),
-    (error) => answerError(context, error),
+    (error) => respondWithError(context, error),
   );
 }
 
-async function answerStream(
+async function respondWithStream(
   context: EngineContext,
   result: ResultAsync<AsyncIterable<EngineChunk>, EngineError>,
 ): Promise<Response> {
   return (await result).match(
     (chunks) => {
-      let isWhole = false;
+      let isComplete = false;
       return sendEvents(
         context,
-        noteEnd(chunks, () => {
-          isWhole = true;
+        watchForEnd(chunks, () => {
+          isComplete = true;
         }),
-        () => isWhole,
+        () => isComplete,
       );
     },
-    (error) => answerError(context, error),
+    (error) => respondWithError(context, error),
   );
 }
 
-/** A died engine cannot answer: its connection breaks instead. */
-function answerError(context: EngineContext, error: EngineError): Response {
+/** An engine that has crashed cannot respond: its connection is destroyed instead. */
+function respondWithError(context: EngineContext, error: EngineError): Response {
   return error.kind === 'died'
-    ? breakConnection(context)
+    ? abortConnection(context)
     : context.json({ error }, engineErrorStatus[error.kind]);
 }
 
-async function* noteEnd(
+async function* watchForEnd(
   chunks: AsyncIterable<EngineChunk>,
   onEnd: () => void,
 ): AsyncGenerator<EngineChunk, void, undefined> {
--- a/packages/standins/src/engine/tokenOutput.ts
+++ b/packages/standins/src/engine/tokenOutput.ts
@@ -1,4 +1,4 @@
-/** The stand-in's output: a pure function of prompt and model, so that tests know it beforehand. */
+/** The stand-in's output: a pure function of prompt and model, so that tests can predict it. */
 import { hash64 } from '@bluebellhitch/shared';
 import type { FinishReason } from '@bluebellhitch/protocol';
 
@@ -13,7 +13,7 @@
 const maxOutputTokens = 400;
 
 export interface ExpectedOutput {
-  /** Text of the token at `offset`, with the space before it. */
+  /** Text of the token at `offset`, with a leading space except for the first. */
   tokenText(offset: number): string;
   /** Text of the first `tokenCount` tokens. */
   text(tokenCount?: number): string;
@@ -21,7 +21,7 @@
   finishReason: FinishReason;
 }
 
-/** What a stand-in engine answers to `prompt`. */
+/** Returns what a stand-in engine outputs for `prompt`. */
 export function expectedOutput(
   prompt: string,
   model: string,
--- a/packages/standins/src/httpServer.ts
+++ b/packages/standins/src/httpServer.ts
@@ -1,4 +1,4 @@
-/** HTTP plumbing of the stand-ins: listening, stopping, and event streams. */
+/** HTTP server helpers that the stand-ins share: listening, stopping, and event streams. */
 import { once } from 'node:events';
 import type { AddressInfo } from 'node:net';
 import type { ServerResponse } from 'node:http';
@@ -6,7 +6,7 @@
 import { RESPONSE_ALREADY_SENT } from '@hono/node-server/utils/response';
 import type { Context, Hono } from 'hono';
 
-/** Hono's environment under Node.js: gives handlers the socket. */
+/** Hono environment under Node.js; gives handlers access to the socket. */
 export interface NodeEnvironment {
   Bindings: HttpBindings;
 }
@@ -20,9 +20,9 @@
 export interface StandinServer {
   /** `http://ip:port` */
   address: string;
-  /** Stops listening, waits for running answers, then resolves. */
+  /** Stops listening; resolves when the responses in progress have ended. */
   close(): Promise<void>;
-  /** Stops at once and breaks all connections, as a dying process does. */
+  /** Stops listening and destroys all connections, as when the process is killed. */
   destroy(): void;
 }
 
@@ -30,7 +30,7 @@
   app: Hono<NodeEnvironment>,
   { host = '127.0.0.1', port = 0 }: ListenOptions = {},
 ): Promise<StandinServer> {
-  // Connections are closed by their peers; keep-alive must not race with a call on its way.
+  // Clients close idle connections: a short keep-alive time-out here could close one just as a request arrives.
   const server = createAdaptorServer({
     fetch: app.fetch,
     serverOptions: { keepAliveTimeout: 60_000 },
@@ -52,7 +52,7 @@
   };
 }
 
-/** A signal that aborts when the caller's connection closes before its answer is complete. */
+/** Returns a signal that aborts when the caller's connection closes before the response is complete. */
 export function disconnectSignal(context: Context<NodeEnvironment>): AbortSignal {
   const controller = new AbortController();
   const response = context.env.outgoing;
@@ -64,31 +64,34 @@
   return controller.signal;
 }
 
-/** Breaks the caller's connection without an answer. */
-export function breakConnection(context: Context<NodeEnvironment>): Response {
+/** Destroys the caller's connection without sending a response. */
+export function abortConnection(context: Context<NodeEnvironment>): Response {
   context.env.incoming.socket.destroy();
   return RESPONSE_ALREADY_SENT;
 }
 
 /**
- * Answers with an event stream, one JSON value an event. A stream without its end marker is broken
- * off rather than ended properly when `isWhole` says so at the end.
+ * Responds with an event stream that has one JSON value per event. If `isComplete` returns false when
+ * the values end, the connection is destroyed, so that the caller cannot take the stream for complete.
  */
 export function sendEvents<Value>(
   context: Context<NodeEnvironment>,
   values: AsyncIterable<Value>,
-  isWhole: () => boolean = () => true,
+  isComplete: () => boolean = () => true,
 ): Response {
   const response = context.env.outgoing;
   response.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-cache' });
   response.flushHeaders();
-  pump(response, values)
-    .then(() => (isWhole() ? response.end() : response.destroy()))
+  writeEvents(response, values)
+    .then(() => (isComplete() ? response.end() : response.destroy()))
     .catch(() => response.destroy());
   return RESPONSE_ALREADY_SENT;
 }
 
-async function pump<Value>(response: ServerResponse, values: AsyncIterable<Value>): Promise<void> {
+async function writeEvents<Value>(
+  response: ServerResponse,
+  values: AsyncIterable<Value>,
+): Promise<void> {
   const iterator = values[Symbol.asyncIterator]();
   response.once('close', () => {
     iterator.return?.().catch(() => undefined);
@@ -99,12 +102,12 @@
       return;
     }
     if (!response.write(`data: ${JSON.stringify(next.value)}\n\n`)) {
-      await drained(response);
+      await waitForDrain(response);
     }
   }
 }
 
-async function drained(response: ServerResponse): Promise<void> {
+async function waitForDrain(response: ServerResponse): Promise<void> {
   const controller = new AbortController();
   const { signal } = controller;
   await Promise.race([
--- a/packages/standins/src/plainService/runCounts.ts
+++ b/packages/standins/src/plainService/runCounts.ts
@@ -1,13 +1,13 @@
-/** Counts how often each route and each idempotency key ran. Bounded by forgetting the oldest key. */
+/** Counts the runs of each route and each idempotency key. Beyond `maxKeys` the oldest key is dropped. */
 
 export interface RunCounts {
   countRoute(route: string): void;
-  /** Returns how often the key has run by now. */
+  /** Counts a run of the key and returns the number of its runs so far. */
   countKey(idempotencyKey: string): number;
   read(): { routes: Record<string, number>; runsByKey: Record<string, number> };
 }
 
-const keyLimit = 10_000;
+const maxKeys = 10_000;
 
 export function createRunCounts(): RunCounts {
   const routes = new Map<string, number>();
@@ -25,7 +25,7 @@
     },
     countKey: (idempotencyKey) => {
       const [oldest] = runsByKey.keys();
-      if (runsByKey.size >= keyLimit && oldest !== undefined && !runsByKey.has(idempotencyKey)) {
+      if (runsByKey.size >= maxKeys && oldest !== undefined && !runsByKey.has(idempotencyKey)) {
         runsByKey.delete(oldest);
       }
       return increment(runsByKey, idempotencyKey);
--- a/packages/standins/src/plainService/standinPlainService.ts
+++ b/packages/standins/src/plainService/standinPlainService.ts
@@ -1,11 +1,12 @@
 /**
- * A plain service: lookups, calls that may not be repeated, echoes and streams, with counts of what
- * ran. Serves counter traffic (balances, receipts) and pit traffic (dispatch, check-ins) alike.
+ * Stand-in of a plain service: lookups, writes that must not be repeated, echoes and streams, with counts
+ * of their runs. Its routes stand for both kinds of traffic: counter (balances, receipts) and pit
+ * (dispatch, check-ins).
  */
 import { Hono } from 'hono';
 import { delay } from '@bluebellhitch/shared';
 import {
-  breakConnection,
+  abortConnection,
   disconnectSignal,
   listen,
   type ListenOptions,
@@ -15,7 +16,7 @@
 import { createRunCounts, type RunCounts } from './runCounts';
 
 export interface StandinPlainServiceOptions extends ListenOptions {
-  /** Time that each lookup or write takes. */
+  /** Duration of each lookup or write. */
   serviceTimeMs?: number;
   /** A write whose body contains this text crashes the service. */
   poisonMarker?: string;
@@ -24,7 +25,7 @@
 
 export interface StandinPlainService extends StandinServer {
   stats(): ReturnType<RunCounts['read']>;
-  /** Breaks all connections and stops listening. */
+  /** Destroys all connections and stops listening. */
   crash(): void;
 }
 
@@ -52,7 +53,7 @@
   addStreams(app, counts);
   app.get('/crash', (context) => {
     crash();
-    return breakConnection(context);
+    return abortConnection(context);
   });
   app.get('/stats', (context) => context.json(counts.read()));
   server = await listen(app, listenOptions);
--- a/packages/standins/src/platform/faults.ts
+++ b/packages/standins/src/platform/faults.ts
@@ -1,4 +1,4 @@
-/** Faults of the stand-in platform: outage, slowness and lost answers. */
+/** Injected faults of the stand-in platform: outages, added latency and lost responses. */
 import type { ObjectKind } from '@bluebellhitch/objects';
 
 export const platformVerbs = {
@@ -12,23 +12,23 @@
 } as const;
 export type PlatformVerb = (typeof platformVerbs)[keyof typeof platformVerbs];
 
-/** One call, as faults and statistics see it. */
+/** The properties of a call by which faults select it and statistics count it. */
 export interface PlatformCall {
   verb: PlatformVerb;
   kind?: ObjectKind;
   key?: string;
 }
 
-/** Which calls lose their answer, and what becomes of their effect. */
+/** Selects calls whose responses are lost, and says what happens to their effect. */
 export interface LostAnswers {
-  /** How many matching calls. */
+  /** Number of matching calls. */
   count: number;
   verb?: PlatformVerb;
   kind?: ObjectKind;
   key?: string;
-  /** `applied` before the answer is lost, `dropped` altogether, or applied `late`. */
+  /** `applied` before the response is lost, `dropped` (never applied), or applied `late`. */
   effect: 'applied' | 'dropped' | 'late';
-  /** Delay of a `late` effect. */
+  /** Delay of a `late` effect; 0 if absent. */
   lateMs?: number;
 }
 
@@ -41,9 +41,9 @@
   let slowMs = 0;
   let lost: LostAnswers[] = [];
 
-  /** The fault that this call meets, used up by one. */
-  function takeLostAnswer(call: PlatformCall): LostEffect | undefined {
-    const found = lost.find((fault) => fault.count > 0 && matches(fault, call));
+  /** Returns the effect of the first fault that matches the call, and reduces that fault's count by one. */
+  function takeLostResponse(call: PlatformCall): LostEffect | undefined {
+    const found = lost.find((fault) => fault.count > 0 && matchesCall(fault, call));
     if (found === undefined) {
       return undefined;
     }
@@ -53,15 +53,15 @@
   }
 
   return {
-    /** While on, each call is refused without effect. */
+    /** During an outage each call is refused without effect. */
     setOutage(on: boolean): void {
       outage = on;
     },
-    /** Added to each call, half before its effect and half behind. */
+    /** Sets the latency added to each call: half before its effect, half after it. */
     setSlow(durationMs: number): void {
       slowMs = durationMs;
     },
-    loseAnswers(fault: LostAnswers): void {
+    loseResponses(fault: LostAnswers): void {
       lost.push({ ...fault });
     },
     clear(): void {
@@ -71,11 +71,11 @@
     },
     isOutage: () => outage,
     slowMs: () => slowMs,
-    takeLostAnswer,
+    takeLostResponse,
   };
 }
 
-function matches(fault: LostAnswers, call: PlatformCall): boolean {
+function matchesCall(fault: LostAnswers, call: PlatformCall): boolean {
   return (
     (fault.verb === undefined || fault.verb === call.verb) &&
     (fault.kind === undefined || fault.kind === call.kind) &&
--- a/packages/standins/src/platform/instanceRegistry.ts
+++ b/packages/standins/src/platform/instanceRegistry.ts
@@ -1,4 +1,4 @@
-/** The stand-in's list of instances. Readers see it as it was `lagMs` ago. */
+/** The stand-in platform's list of instances. Readers see it as it was `lagMs` ago. */
 import type { PlatformInstance } from '@bluebellhitch/objects';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
@@ -17,9 +17,11 @@
   }
 
   function list(): PlatformInstance[] {
-    const shownUntilMs = monotonicNowMs() - lagMs;
-    pending.filter((entry) => entry.atMs <= shownUntilMs).forEach((entry) => entry.apply(visible));
-    pending = pending.filter((entry) => entry.atMs > shownUntilMs);
+    const visibleUntilMs = monotonicNowMs() - lagMs;
+    pending
+      .filter((entry) => entry.atMs <= visibleUntilMs)
+      .forEach((entry) => entry.apply(visible));
+    pending = pending.filter((entry) => entry.atMs > visibleUntilMs);
     return structuredClone([...visible.values()]);
   }
 
--- a/packages/standins/src/platform/objectStore.ts
+++ b/packages/standins/src/platform/objectStore.ts
@@ -1,6 +1,6 @@
 /**
- * Versioned objects with a bounded event log. One revision counter serves as version of every object
- * and as watch position, so the version of a re-created object is higher than any it had before.
+ * Versioned objects with a bounded event log. One revision counter supplies both the objects' versions
+ * and the watch cursors, so that an object created again gets a higher version than it ever had before.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type {
@@ -13,10 +13,10 @@
 } from '@bluebellhitch/objects';
 
 export interface ObjectStoreOptions {
-  /** Events kept for watches; a watch from before the oldest one is told `compacted`. */
+  /** Events kept for watches; a watch whose cursor is older than the oldest one gets `compacted`. */
   eventLogLimit?: number;
-  /** Largest value, measured as JSON text. */
-  valueLimitBytes?: number;
+  /** Maximum size of a value, measured as JSON text. */
+  maxValueBytes?: number;
 }
 
 interface LoggedEvent {
@@ -28,11 +28,13 @@
 export type ObjectStore = ReturnType<typeof createObjectStore>;
 
 const defaultEventLogLimit = 10_000;
-const defaultValueLimitBytes = 1024 * 1024;
+const defaultMaxValueBytes = 1024 * 1024;
 
 export function createObjectStore(options: ObjectStoreOptions = {}) {
-  const { eventLogLimit = defaultEventLogLimit, valueLimitBytes = defaultValueLimitBytes } =
-    options;
+  const {
+    eventLogLimit = defaultEventLogLimit,
+    maxValueBytes = defaultMaxValueBytes,
+  } = options;
   const objects = new Map<string, StoredObject>();
   const log: LoggedEvent[] = [];
   const listeners = new Set<(kind: ObjectKind) => void>();
@@ -91,13 +93,13 @@
     };
   }
 
-  /** Calls `listener` after each change, until the returned function is called. */
+  /** Calls `listener` after each change. Returns a function that removes it. */
   function onChange(listener: (kind: ObjectKind) => void): () => void {
     listeners.add(listener);
     return () => listeners.delete(listener);
   }
 
-  /** Drops the whole event log, as a platform does now and then. */
+  /** Drops the whole event log, as a real platform does from time to time. */
   function compact(): void {
     log.length = 0;
     compactedRevision = revision;
@@ -115,8 +117,8 @@
 
   function put(kind: ObjectKind, key: string, value: unknown): Result<StoredObject, PlatformError> {
     const sizeBytes = Buffer.byteLength(JSON.stringify(value) ?? '');
-    if (sizeBytes > valueLimitBytes) {
-      const detail = `value of ${sizeBytes} bytes exceeds ${valueLimitBytes}`;
+    if (sizeBytes > maxValueBytes) {
+      const detail = `value of ${sizeBytes} bytes exceeds ${maxValueBytes}`;
       return err({ kind: 'rejected', detail });
     }
     revision += 1;
--- a/packages/standins/src/platform/platformApp.ts
+++ b/packages/standins/src/platform/platformApp.ts
@@ -1,4 +1,4 @@
-/** HTTP layer of the stand-in platform: the objects, and `/control/*` for faults and instances. */
+/** HTTP routes of the stand-in platform: objects and watches, and `/control/*` for faults and instances. */
 import type { HttpBindings } from '@hono/node-server';
 import { Hono, type Context } from 'hono';
 import type { ResultAsync } from 'neverthrow';
@@ -16,9 +16,9 @@
   Bindings: HttpBindings;
 }
 
-const longestWaitMs = 60_000;
+const maxWaitMs = 60_000;
 
-const lostAnswersSchema = z.strictObject({
+const lostResponsesSchema = z.strictObject({
   count: z.number().int().positive(),
   verb: z.enum(['get', 'list', 'create', 'update', 'remove', 'watch', 'instances']).optional(),
   kind: objectKindSchema.optional(),
@@ -30,10 +30,10 @@
 const versionSchema = z.object({ version: z.coerce.number().int().nonnegative() });
 const watchQuerySchema = z.object({
   cursor: z.string(),
-  waitMs: z.coerce.number().min(0).max(longestWaitMs),
+  waitMs: z.coerce.number().min(0).max(maxWaitMs),
 });
 
-/** `stop` ends the watches that wait, so that they do not hold up an exit. */
+/** `stop` ends waiting watches, so that they do not delay the exit of the process. */
 export function createStandinPlatformApp(platform: StandinPlatform, stop: AbortSignal) {
   const app = new Hono<PlatformEnv>();
   addObjectRoutes(app, platform, stop);
@@ -45,89 +45,89 @@
 }
 
 function addObjectRoutes(app: Hono<PlatformEnv>, platform: StandinPlatform, stop: AbortSignal) {
-  app.get('/objects/:kind', (context) => answer(context, platform.list(kindOf(context))));
+  app.get('/objects/:kind', (context) => respond(context, platform.list(readKind(context))));
   app.get('/objects/:kind/:key', (context) =>
-    answer(context, platform.get(kindOf(context), keyOf(context))),
+    respond(context, platform.get(readKind(context), readKey(context))),
   );
   app.post('/objects/:kind/:key', async (context) => {
     const { value } = writeBodySchema.parse(await context.req.json());
-    return answer(context, platform.create(kindOf(context), keyOf(context), value));
+    return respond(context, platform.create(readKind(context), readKey(context), value));
   });
   app.put('/objects/:kind/:key', async (context) => {
     const { value } = writeBodySchema.parse(await context.req.json());
     const { version } = versionSchema.parse(context.req.query());
-    return answer(context, platform.update(kindOf(context), keyOf(context), version, value));
+    return respond(context, platform.update(readKind(context), readKey(context), version, value));
   });
   app.delete('/objects/:kind/:key', (context) => {
     const { version } = versionSchema.parse(context.req.query());
-    return answer(context, platform.remove(kindOf(context), keyOf(context), version));
+    return respond(context, platform.remove(readKind(context), readKey(context), version));
   });
   app.get('/watch/:kind', (context) => {
     const { cursor, waitMs } = watchQuerySchema.parse(context.req.query());
     const signal = AbortSignal.any([context.req.raw.signal, stop]);
-    return answer(context, platform.watch(kindOf(context), cursor, waitMs, signal));
+    return respond(context, platform.watch(readKind(context), cursor, waitMs, signal));
   });
-  app.get('/instances', (context) => answer(context, platform.instances()));
+  app.get('/instances', (context) => respond(context, platform.instances()));
 }
 
 function addControlRoutes(app: Hono<PlatformEnv>, { control }: StandinPlatform) {
-  const done = (context: Context) => context.json({ done: true });
+  const respondDone = (context: Context) => context.json({ done: true });
   app.get('/control/stats', (context) => context.json(control.stats()));
   app.post('/control/stats/reset', (context) => {
     control.resetStats();
-    return done(context);
+    return respondDone(context);
   });
   app.post('/control/outage', async (context) => {
     control.setOutage(z.object({ on: z.boolean() }).parse(await context.req.json()).on);
-    return done(context);
+    return respondDone(context);
   });
   app.post('/control/slow', async (context) => {
     control.setSlow(parseDuration(await context.req.json()));
-    return done(context);
+    return respondDone(context);
   });
   app.post('/control/lose-answers', async (context) => {
-    control.loseAnswers(lostAnswersSchema.parse(await context.req.json()));
-    return done(context);
+    control.loseAnswers(lostResponsesSchema.parse(await context.req.json()));
+    return respondDone(context);
   });
   app.post('/control/clear-faults', (context) => {
     control.clearFaults();
-    return done(context);
+    return respondDone(context);
   });
   app.post('/control/compact', (context) => {
     control.compact();
-    return done(context);
+    return respondDone(context);
   });
   app.post('/control/instance-lag', async (context) => {
     control.setInstanceLag(parseDuration(await context.req.json()));
-    return done(context);
+    return respondDone(context);
   });
   app.put('/control/instances/:id', async (context) => {
     const body: unknown = await context.req.json();
     const id = z.string().parse(context.req.param('id'));
     control.putInstance(platformInstanceSchema.parse({ ...Object(body), id }));
-    return done(context);
+    return respondDone(context);
   });
   app.post('/control/instances/:id/leaving', (context) => {
     control.markLeaving(context.req.param('id'));
-    return done(context);
+    return respondDone(context);
   });
   app.delete('/control/instances/:id', (context) => {
     control.removeInstance(context.req.param('id'));
-    return done(context);
+    return respondDone(context);
   });
 }
 
-async function answer<Value>(
+async function respond<Value>(
   context: Context<PlatformEnv>,
   result: ResultAsync<Value, PlatformError>,
 ): Promise<Response> {
   return result.match(
     (value) => (value === undefined ? context.body(null, 204) : context.json(value as object)),
-    (error) => answerError(context, error),
+    (error) => respondWithError(context, error),
   );
 }
 
-function answerError(context: Context<PlatformEnv>, error: PlatformError): Response {
+function respondWithError(context: Context<PlatformEnv>, error: PlatformError): Response {
   switch (error.kind) {
     case 'conflict':
       return context.json(error, 409);
@@ -138,25 +138,25 @@
     case 'rejected':
       return context.json(error, 400);
     case 'unavailable':
-      return error.detail === 'answer lost' ? dropConnection(context) : context.json(error, 503);
+      return error.detail === 'answer lost' ? abortConnection(context) : context.json(error, 503);
     case 'unknown-outcome':
-      return dropConnection(context);
+      return abortConnection(context);
     default:
       return assertNever(error);
   }
 }
 
-/** The caller sees its connection break and cannot tell whether its call took effect. */
-function dropConnection(context: Context<PlatformEnv>): Response {
+/** The caller's connection is destroyed, so that it cannot know whether its call took effect. */
+function abortConnection(context: Context<PlatformEnv>): Response {
   context.env.outgoing.destroy();
   return context.body(null, 503);
 }
 
-function kindOf(context: Context) {
+function readKind(context: Context) {
   return objectKindSchema.parse(context.req.param('kind'));
 }
 
-function keyOf(context: Context): string {
+function readKey(context: Context): string {
   return z.string().min(1).parse(context.req.param('key'));
 }
 
--- a/packages/standins/src/platform/rateLimit.ts
+++ b/packages/standins/src/platform/rateLimit.ts
@@ -1,14 +1,14 @@
-/** Token bucket of the stand-in platform's call rates. */
+/** Token bucket that limits the stand-in platform's call rates. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
 const msPerSecond = 1000;
 
 export interface RateLimit {
-  /** Takes one call; answers how long to wait instead where there is none left. */
+  /** Takes a token for one call, or returns how long to wait for the next token. */
   take(): { allowed: true } | { allowed: false; retryAfterMs: number };
 }
 
-/** Allows `ratePerSecond` calls with a burst of one second; no limit where it is infinite. */
+/** Allows `ratePerSecond` calls with bursts of up to one second's worth; `Infinity` means no limit. */
 export function createRateLimit(ratePerSecond: number): RateLimit {
   let tokens = ratePerSecond;
   let filledAtMs = monotonicNowMs();
--- a/packages/standins/src/platform/standinPlatform.ts
+++ b/packages/standins/src/platform/standinPlatform.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the platform: objects with versions and watches, a lagging list of instances, rate
- * limits and faults. The in-memory core implements `PlatformApi` itself, for tests without sockets.
+ * Stand-in of the platform: versioned objects with watches, a list of instances that lags, rate limits
+ * and injected faults. This in-memory core implements `PlatformApi`, for tests without sockets.
  */
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import type {
@@ -27,23 +27,23 @@
   /** Absent: no limit. */
   writesPerSecond?: number;
   readsPerSecond?: number;
-  /** Usual time of a call; half before its effect and half behind. */
+  /** Duration of a call: half before its effect, half after it. */
   latencyMs?: number;
-  /** Random addition to each half of the latency, so that concurrent calls overtake one another. */
+  /** Maximum random addition to each half of the latency, so that concurrent calls overtake one another. */
   jitterMs?: number;
-  /** How old the list of instances is. */
+  /** Age of the list of instances that readers see. */
   instanceLagMs?: number;
   random?: Random;
 }
 
-/** Calls by verb and by outcome (`ok` or the error's kind). */
+/** Counts of calls by verb and by outcome (`ok` or the error's kind). */
 export interface StandinPlatformStats {
   calls: Record<PlatformVerb, number>;
   outcomes: Record<string, number>;
   waitingWatches: number;
 }
 
-/** Faults and instance changes, in process; `POST /control/*` offers the same. */
+/** Fault injection and instance changes within the process; `/control/*` offers the same over HTTP. */
 export interface StandinPlatformControl {
   setOutage(on: boolean): void;
   setSlow(durationMs: number): void;
@@ -85,21 +85,21 @@
     call: PlatformCall,
     effect: () => Result<Value, PlatformError>,
   ): Promise<Result<Value, PlatformError>> {
-    const refused = refusalOf(call);
+    const refused = findRefusal(call);
     if (refused !== undefined) {
       return err(refused);
     }
-    const lost = faults.takeLostAnswer(call);
+    const lost = faults.takeLostResponse(call);
     await halfLatency();
     if (lost !== undefined) {
-      return loseAnswer(call, lost, effect);
+      return loseResponse(call, lost, effect);
     }
     const outcome = effect();
     await halfLatency();
     return outcome;
   }
 
-  function refusalOf(call: PlatformCall): PlatformError | undefined {
+  function findRefusal(call: PlatformCall): PlatformError | undefined {
     if (faults.isOutage()) {
       return { kind: 'unavailable', detail: 'outage' };
     }
@@ -107,7 +107,7 @@
     return taken.allowed ? undefined : { kind: 'rate-limited', retryAfterMs: taken.retryAfterMs };
   }
 
-  function loseAnswer<Value>(
+  function loseResponse<Value>(
     call: PlatformCall,
     lost: LostEffect,
     effect: () => Result<Value, PlatformError>,
@@ -155,7 +155,7 @@
     const unsubscribe = store.onChange((changed) => changed === kind && wake());
     signal?.addEventListener('abort', wake);
     stats.waitingWatches += 1;
-    // An event may have come between the first look and the subscription.
+    // An event may have arrived between the first read and the subscription.
     if (!signal?.aborted && store.eventsSince(kind, cursor).events.length === 0) {
       await delay(waitMs, woken.signal);
     }
@@ -188,7 +188,7 @@
     control: {
       setOutage: faults.setOutage,
       setSlow: faults.setSlow,
-      loseAnswers: faults.loseAnswers,
+      loseAnswers: faults.loseResponses,
       clearFaults: faults.clear,
       compact: store.compact,
       putInstance: registry.put,
--- a/packages/standins/src/platform/startStandinPlatform.ts
+++ b/packages/standins/src/platform/startStandinPlatform.ts
@@ -1,4 +1,4 @@
-/** Runs the stand-in platform on a socket. */
+/** Serves the stand-in platform over HTTP. */
 import type { AddressInfo } from 'node:net';
 import type { Server } from 'node:http';
 import { serve } from '@hono/node-server';
@@ -7,7 +7,7 @@
 
 export interface StartStandinPlatformOptions extends StandinPlatformOptions {
   host?: string;
-  /** 0 takes a free port. */
+  /** 0 picks a free port. */
   port?: number;
 }
 
@@ -25,7 +25,7 @@
     return new Promise((resolve) => {
       server.close(() => resolve());
       server.closeIdleConnections();
-      // A caller that keeps its connection busy must not hold up the exit.
+      // A caller that keeps its connection busy must not delay the exit.
       setTimeout(() => server.closeAllConnections(), closeGraceMs).unref();
     });
   }
--- a/packages/standins/src/weightStore/standinWeightStore.ts
+++ b/packages/standins/src/weightStore/standinWeightStore.ts
@@ -1,4 +1,4 @@
-/** A weight store whose readers share a limited rate. Sends no bytes, only takes their time. */
+/** A weight store whose readers share a limited rate. Sends no weights, but takes the time to send them. */
 import { Hono } from 'hono';
 import { createRateLimitedLink } from '../engine/rateLimitedLink';
 import {
@@ -15,8 +15,8 @@
   weightBytes?: number;
 }
 
-/** Piece by which readers take turns. */
-const pieceBytes = 16 * 1024 * 1024;
+/** Concurrent readers take turns in chunks of this size. */
+const chunkBytes = 16 * 1024 * 1024;
 
 export async function createStandinWeightStore(
   options: StandinWeightStoreOptions = {},
@@ -29,8 +29,8 @@
   app.get('/weights/:model/:version', async (context) => {
     const { model, version } = context.req.param();
     const signal = disconnectSignal(context);
-    for (let sentBytes = 0; sentBytes < weightBytes && !signal.aborted; sentBytes += pieceBytes) {
-      await link.pass(Math.min(pieceBytes, weightBytes - sentBytes), signal);
+    for (let sentBytes = 0; sentBytes < weightBytes && !signal.aborted; sentBytes += chunkBytes) {
+      await link.transmit(Math.min(chunkBytes, weightBytes - sentBytes), signal);
     }
     const key = `${model}/${version}`;
     readCounts.set(key, (readCounts.get(key) ?? 0) + 1);
--- a/packages/standins/src/weightStore/weightReader.ts
+++ b/packages/standins/src/weightStore/weightReader.ts
@@ -1,4 +1,4 @@
-/** Reads a model's weights from the weight store over HTTP. */
+/** Reads a model's weights from the weight store over HTTP and discards them. */
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import { request } from 'undici';
 import type { EngineError } from '@bluebellhitch/engine';
