--- a/packages/duties/__tests__/acceptor.test.ts
+++ b/packages/duties/__tests__/acceptor.test.ts
@@ -60,14 +60,14 @@
     fixture.startAcceptor(1);
     await fixture.edit(service, valid);
     await fixture.clock.tickAsync(1000);
-    fixture.platform.control.loseAnswers({
+    fixture.platform.control.loseResponses({
       count: 1,
       verb: 'update',
       kind: 'accepted',
       effect,
       lateMs: 9,
     });
-    fixture.platform.control.loseAnswers({
+    fixture.platform.control.loseResponses({
       count: 1,
       verb: 'update',
       kind: 'status',
@@ -88,7 +88,7 @@
 test.serial('a paused acceptor does not bring back an older edit', async (t) => {
   const fixture = createAcceptorFixture();
   await fixture.edit(service, valid);
-  fixture.platform.control.loseAnswers({
+  fixture.platform.control.loseResponses({
     count: 1,
     verb: 'create',
     kind: 'accepted',
--- a/packages/duties/__tests__/acceptorRace.test.ts
+++ b/packages/duties/__tests__/acceptorRace.test.ts
@@ -118,7 +118,7 @@
       acceptors[next.acceptor].lease.fencingNumber = next.held ? next.acceptor + 1 : undefined;
       return;
     case 'lose':
-      control.loseAnswers({ count: 1, verb: next.verb, effect: next.effect, lateMs: 150 });
+      control.loseResponses({ count: 1, verb: next.verb, effect: next.effect, lateMs: 150 });
       return;
     case 'outage':
       control.setOutage(next.on);
--- a/packages/objects/__tests__/claimStore.test.ts
+++ b/packages/objects/__tests__/claimStore.test.ts
@@ -92,7 +92,7 @@
   'a write whose response was lost is recognised as our own',
   async (t, clock, create) => {
     const platform = createPlatform();
-    platform.control.loseAnswers({ count: 1, verb: 'create', effect: 'applied' });
+    platform.control.loseResponses({ count: 1, verb: 'create', effect: 'applied' });
     const outcome = await advanceUntilDone(clock, take(create(platform, 'entry-1'), 'a'));
     t.is(outcome._unsafeUnwrap().kind, 'taken');
     const other = await advanceUntilDone(clock, take(create(platform, 'entry-2'), 'b'));
@@ -106,7 +106,7 @@
   'a write that takes effect late does not give the claim to two attempts',
   async (t, clock, create) => {
     const platform = createPlatform();
-    platform.control.loseAnswers({ count: 1, verb: 'create', effect: 'late', lateMs: 15 });
+    platform.control.loseResponses({ count: 1, verb: 'create', effect: 'late', lateMs: 15 });
     const [first, second] = [create(platform, 'entry-1'), create(platform, 'entry-2')];
     const outcomes = await advanceUntilDone(
       clock,
@@ -128,9 +128,9 @@
     claimOf(
       (await advanceUntilDone(clock, take(store, 'warm-up', 'other-key'), 500))._unsafeUnwrap(),
     );
-    platform.control.loseAnswers({ count: 1, verb: 'create', effect: 'applied' });
-    platform.control.loseAnswers({ count: 6, verb: 'get', effect: 'dropped' });
-    platform.control.loseAnswers({ count: 6, verb: 'create', effect: 'dropped' });
+    platform.control.loseResponses({ count: 1, verb: 'create', effect: 'applied' });
+    platform.control.loseResponses({ count: 6, verb: 'get', effect: 'dropped' });
+    platform.control.loseResponses({ count: 6, verb: 'create', effect: 'dropped' });
     const refused = await advanceUntilDone(clock, take(store, 'a'), 2000);
     t.like(refused._unsafeUnwrapErr(), { kind: 'unavailable', claimMayStay: true });
     platform.control.clearFaults();
@@ -159,8 +159,8 @@
     const [first, second] = [create(platform, 'entry-1'), create(platform, 'entry-2')];
     const claim = claimOf((await advanceUntilDone(clock, take(first, 'a')))._unsafeUnwrap());
     const lost = { count: 1, effect: 'late', lateMs: 400 } as const;
-    platform.control.loseAnswers({ ...lost, verb: 'remove' });
-    platform.control.loseAnswers({ ...lost, verb: 'update' });
+    platform.control.loseResponses({ ...lost, verb: 'remove' });
+    platform.control.loseResponses({ ...lost, verb: 'update' });
     const released = first.release(claim);
     const taken = await advanceUntilDone(
       clock,
@@ -238,7 +238,7 @@
       const random = createSeededRandom(latencySeed);
       const windowEdgeMs = Math.ceil(Date.now() / 10_000 + 3) * 10_000;
       const platform = createPlatform({ latencyMs: 2, jitterMs: 12, random });
-      faults.forEach((fault) => platform.control.loseAnswers(fault));
+      faults.forEach((fault) => platform.control.loseResponses(fault));
       const entries = [0, 1, 2].map((entry) => create(platform, `entry-${entry}`));
       const holders = new Map<number, Set<string>>();
       const work = plan.map(async (step, index) => {
--- a/packages/objects/__tests__/dutyLease.test.ts
+++ b/packages/objects/__tests__/dutyLease.test.ts
@@ -5,7 +5,7 @@
 import { createSeededRandom } from '@bluebellhitch/shared';
 import {
   createStandinPlatform,
-  type LostAnswers,
+  type LostResponses,
   type PlatformVerb,
   type StandinPlatform,
 } from '@bluebellhitch/standins';
@@ -135,13 +135,13 @@
   async (t, clock) => {
     const platform = createPlatform();
     const first = createLease(platform, 'entry-1');
-    platform.control.loseAnswers({ count: 1, verb: 'create', effect: 'applied' });
+    platform.control.loseResponses({ count: 1, verb: 'create', effect: 'applied' });
     t.is(
       (await advanceUntilDone(clock, first.lease.acquireOrRenew()))._unsafeUnwrap().fencingNumber,
       1,
     );
     await clock.tickAsync(3000);
-    platform.control.loseAnswers({ count: 1, verb: 'update', effect: 'applied' });
+    platform.control.loseResponses({ count: 1, verb: 'update', effect: 'applied' });
     const renewed = (
       await advanceUntilDone(clock, first.lease.acquireOrRenew(), 10)
     )._unsafeUnwrap();
@@ -169,8 +169,8 @@
     const platform = createPlatform();
     const first = createLease(platform, 'entry-1');
     await advanceUntilDone(clock, first.lease.acquireOrRenew());
-    platform.control.loseAnswers({ count: 1, verb: 'update', effect: 'late', lateMs: 1000 });
-    platform.control.loseAnswers({ count: 1, verb: 'get', effect: 'dropped' });
+    platform.control.loseResponses({ count: 1, verb: 'update', effect: 'late', lateMs: 1000 });
+    platform.control.loseResponses({ count: 1, verb: 'get', effect: 'dropped' });
     t.true((await advanceUntilDone(clock, first.lease.acquireOrRenew(), 2000)).isErr());
     const renewed = (
       await advanceUntilDone(clock, first.lease.acquireOrRenew(), 4)
@@ -211,7 +211,7 @@
             event: fc.constant('lose' as const),
             count: fc.integer({ min: 1, max: 4 }),
             verb: fc.constantFrom<PlatformVerb[]>('create', 'update', 'get'),
-            effect: fc.constantFrom<LostAnswers['effect'][]>('applied', 'dropped', 'late'),
+            effect: fc.constantFrom<LostResponses['effect'][]>('applied', 'dropped', 'late'),
             lateMs: fc.integer({ min: 0, max: 9000 }),
           }),
           fc.record({ event: fc.constant('outage' as const), durationMs: fc.nat(12_000) }),
@@ -237,7 +237,7 @@
       plan.forEach(({ atMs, fault }) => {
         setTimeout(() => {
           if (fault.event === 'lose') {
-            platform.control.loseAnswers(fault);
+            platform.control.loseResponses(fault);
           } else if (fault.event === 'outage') {
             platform.control.setOutage(true);
             setTimeout(() => platform.control.setOutage(false), fault.durationMs);
--- a/packages/replay/src/engineModel.ts
+++ b/packages/replay/src/engineModel.ts
@@ -155,7 +155,7 @@
     }
     clearTimeout(reservation.timer);
     reservations.delete(id);
-    ledger.give(reservation.tokens);
+    ledger.free(reservation.tokens);
     return reservation.tokens;
   }
 
@@ -187,7 +187,7 @@
 
   function endSequence(sequence: Sequence): void {
     scheduler.remove(sequence);
-    ledger.give(sequence.heldKvBytes);
+    ledger.free(sequence.heldKvBytes);
     sequence.heldKvBytes = 0;
     scheduler.wake();
   }
@@ -222,7 +222,7 @@
     }
     clearTimeout(kept.timer);
     prefills.delete(handle);
-    ledger.give(kept.tokens);
+    ledger.free(kept.tokens);
     scheduler.wake();
     return kept.tokens;
   }
@@ -239,7 +239,7 @@
     sequence.endOffset = wanted.outputTokens;
     if (wanted.hasPrompt) {
       const heldTokens = promptTokens + emittedTokens;
-      if (!ledger.take(heldTokens)) {
+      if (!ledger.allocate(heldTokens)) {
         return undefined;
       }
       sequence.heldKvBytes = heldTokens;
@@ -304,7 +304,10 @@
     server,
     isDown: () => isDown,
     reserve(tokens, lifetimeMs) {
-      if (scheduler.running().length + reservations.size >= shape.slots || !ledger.take(tokens)) {
+      if (
+        scheduler.running().length + reservations.size >= shape.slots ||
+        !ledger.allocate(tokens)
+      ) {
         return undefined;
       }
       nextNumber += 1;
--- a/packages/scenarios/src/language/runScenario.ts
+++ b/packages/scenarios/src/language/runScenario.ts
@@ -123,7 +123,7 @@
   'lose-answer': ({ world }, input) => {
     if ('verb' in input) {
       const { verb, kind, effect, lateMs, count } = input;
-      world.platform.control.loseAnswers({ verb, kind, effect, lateMs, count });
+      world.platform.control.loseResponses({ verb, kind, effect, lateMs, count });
     } else {
       world.network.loseResponses({ agentId: input.of, call: input.call, count: input.count });
     }
--- a/packages/standins/__tests__/platformHttp.test.ts
+++ b/packages/standins/__tests__/platformHttp.test.ts
@@ -52,7 +52,7 @@
 // released depends on that difference.
 test('a lost response is an unknown outcome, and a refusal is not', async (t) => {
   const { client, address, control } = await start(t);
-  control.loseAnswers({ count: 1, verb: 'create', effect: 'applied' });
+  control.loseResponses({ count: 1, verb: 'create', effect: 'applied' });
   t.is((await client.create('claim', 'k', {}))._unsafeUnwrapErr().kind, 'unknown-outcome');
   t.true((await client.get('claim', 'k')).isOk());
   const impatientClient = createHttpPlatformClient({ address, timeoutMs: 300 });
--- a/packages/standins/src/engine/batchScheduler.ts
+++ b/packages/standins/src/engine/batchScheduler.ts
@@ -88,7 +88,7 @@
       return true;
     }
     const bytes = contextTokens(sequence) * options.kvBytesPerToken;
-    if (!options.ledger.take(bytes)) {
+    if (!options.ledger.allocate(bytes)) {
       return false;
     }
     sequence.heldKvBytes = bytes;
@@ -195,7 +195,7 @@
 
   /** Allocates memory for one more token, preempting the least urgent streams if there is none. */
   function growOrPreempt(slot: Slot): boolean {
-    while (!options.ledger.take(options.kvBytesPerToken)) {
+    while (!options.ledger.allocate(options.kvBytesPerToken)) {
       const victim = batch
         .filter(({ sequence }) => sequence.kind === 'decode')
         .sort(byUrgency)
@@ -214,7 +214,7 @@
 
   function preempt(slot: Slot): void {
     removeFromBatch(slot);
-    options.ledger.give(slot.sequence.heldKvBytes);
+    options.ledger.free(slot.sequence.heldKvBytes);
     slot.sequence.heldKvBytes = 0;
     slot.sequence.contextReady = false;
     slot.sequence.onPreempted();
--- a/packages/standins/src/engine/engineRuns.ts
+++ b/packages/standins/src/engine/engineRuns.ts
@@ -212,7 +212,7 @@
   function finishDecode(sequence: Sequence): void {
     runs.delete(runKey('decode', sequence.attemptId));
     stats.add('completedDecodes');
-    ledger.give(sequence.heldKvBytes);
+    ledger.free(sequence.heldKvBytes);
     options.onChange();
   }
 
@@ -226,7 +226,7 @@
     }
     runs.delete(key);
     scheduler.remove(run.sequence);
-    ledger.give(run.sequence.heldKvBytes);
+    ledger.free(run.sequence.heldKvBytes);
     stats.add('wastedPrefillTokens', run.unusedTokens);
     if (run.sequence.kind === 'decode') {
       stats.add('cancelledDecodes');
--- a/packages/standins/src/engine/exportStore.ts
+++ b/packages/standins/src/engine/exportStore.ts
@@ -48,7 +48,7 @@
     }
     clearTimeout(entry.timer);
     entries.delete(exportId);
-    options.ledger.give(entry.kvExport.kvBytes);
+    options.ledger.free(entry.kvExport.kvBytes);
     if (!entry.fetched) {
       options.stats.add('wastedPrefillTokens', entry.kvExport.computedTokens);
     }
--- a/packages/standins/src/engine/kvImports.ts
+++ b/packages/standins/src/engine/kvImports.ts
@@ -46,7 +46,7 @@
     }
     entries.delete(attemptId);
     entry.controller.abort();
-    options.ledger.give(entry.heldKvBytes);
+    options.ledger.free(entry.heldKvBytes);
     options.onChange();
   }
 
@@ -89,7 +89,7 @@
     if (signal.aborted) {
       return err({ kind: 'gone', detail: 'the import was cancelled' });
     }
-    if (!options.ledger.take(totalBytes)) {
+    if (!options.ledger.allocate(totalBytes)) {
       entry.controller.abort();
       return err({ kind: 'out-of-memory', detail: `no room for ${totalBytes} bytes` });
     }
--- a/packages/standins/src/engine/kvLedger.ts
+++ b/packages/standins/src/engine/kvLedger.ts
@@ -3,8 +3,8 @@
 
 export interface KvLedger {
   /** Allocates `bytes`; returns false if they would exceed the capacity. */
-  take(bytes: number): boolean;
-  give(bytes: number): void;
+  allocate(bytes: number): boolean;
+  free(bytes: number): void;
   heldBytes(): number;
   peakBytes(): number;
   capacityBytes: number;
@@ -15,7 +15,7 @@
   let peak = 0;
   return {
     capacityBytes,
-    take: (bytes) => {
+    allocate: (bytes) => {
       if (held + bytes > capacityBytes) {
         return false;
       }
@@ -23,7 +23,7 @@
       peak = Math.max(peak, held);
       return true;
     },
-    give: (bytes) => {
+    free: (bytes) => {
       held -= bytes;
       invariant(held >= 0, 'more KV memory was freed than held');
     },
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -9,7 +9,7 @@
   type StandinPlatformOptions,
   type StandinPlatformStats,
 } from './platform/standinPlatform';
-export type { LostAnswers, PlatformVerb } from './platform/faults';
+export type { LostResponses, PlatformVerb } from './platform/faults';
 export {
   createPeerDirectory,
   createStandinEngine,
--- a/packages/standins/src/platform/faults.ts
+++ b/packages/standins/src/platform/faults.ts
@@ -20,7 +20,7 @@
 }
 
 /** Selects calls whose responses are lost, and says what happens to their effect. */
-export interface LostAnswers {
+export interface LostResponses {
   /** Number of matching calls. */
   count: number;
   verb?: PlatformVerb;
@@ -32,14 +32,14 @@
   lateMs?: number;
 }
 
-export type LostEffect = Pick<LostAnswers, 'effect' | 'lateMs'>;
+export type LostEffect = Pick<LostResponses, 'effect' | 'lateMs'>;
 
 export type PlatformFaults = ReturnType<typeof createPlatformFaults>;
 
 export function createPlatformFaults() {
   let outage = false;
   let slowMs = 0;
-  let lost: LostAnswers[] = [];
+  let lost: LostResponses[] = [];
 
   /** Returns the effect of the first fault that matches the call, and reduces that fault's count by one. */
   function takeLostResponse(call: PlatformCall): LostEffect | undefined {
@@ -61,7 +61,7 @@
     setSlow(durationMs: number): void {
       slowMs = durationMs;
     },
-    loseResponses(fault: LostAnswers): void {
+    loseResponses(fault: LostResponses): void {
       lost.push({ ...fault });
     },
     clear(): void {
@@ -75,7 +75,7 @@
   };
 }
 
-function matchesCall(fault: LostAnswers, call: PlatformCall): boolean {
+function matchesCall(fault: LostResponses, call: PlatformCall): boolean {
   return (
     (fault.verb === undefined || fault.verb === call.verb) &&
     (fault.kind === undefined || fault.kind === call.kind) &&
--- a/packages/standins/src/platform/platformApp.ts
+++ b/packages/standins/src/platform/platformApp.ts
@@ -86,7 +86,7 @@
     return respondDone(context);
   });
   app.post('/control/lose-answers', async (context) => {
-    control.loseAnswers(lostResponsesSchema.parse(await context.req.json()));
+    control.loseResponses(lostResponsesSchema.parse(await context.req.json()));
     return respondDone(context);
   });
   app.post('/control/clear-faults', (context) => {
--- a/packages/standins/src/platform/standinPlatform.ts
+++ b/packages/standins/src/platform/standinPlatform.ts
@@ -14,7 +14,7 @@
 import {
   createPlatformFaults,
   platformVerbs,
-  type LostAnswers,
+  type LostResponses,
   type LostEffect,
   type PlatformCall,
   type PlatformVerb,
@@ -47,7 +47,7 @@
 export interface StandinPlatformControl {
   setOutage(on: boolean): void;
   setSlow(durationMs: number): void;
-  loseAnswers(fault: LostAnswers): void;
+  loseResponses(fault: LostResponses): void;
   clearFaults(): void;
   compact(): void;
   putInstance(instance: PlatformInstance): void;
@@ -188,7 +188,7 @@
     control: {
       setOutage: faults.setOutage,
       setSlow: faults.setSlow,
-      loseAnswers: faults.loseResponses,
+      loseResponses: faults.loseResponses,
       clearFaults: faults.clear,
       compact: store.compact,
       putInstance: registry.put,
