--- a/packages/bench/__tests__/commandLine.test.ts
+++ b/packages/bench/__tests__/commandLine.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { parseCommandLine } from '../src/commandLine';
 
-test('a command line is read with its defaults', (t) => {
+test('flags that are absent get their defaults', (t) => {
   const parsed = parseCommandLine(['goodput', '--seeds', '4,5', '--loads=100'])._unsafeUnwrap();
 
   if (parsed.kind !== 'command') {
--- a/packages/bench/__tests__/eventReader.test.ts
+++ b/packages/bench/__tests__/eventReader.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { createEventReader } from '../src/load/eventReader';
 
-test('events are read whole, wherever the stream is cut', (t) => {
+test('events are complete wherever the stream is split', (t) => {
   const stream = 'data: {"a":1}\n\nevent: error\ndata: {"b":2}\n\ndata: [DONE]\n\n';
   const expected = [
     { name: 'message', data: '{"a":1}' },
@@ -9,8 +9,8 @@
     { name: 'message', data: '[DONE]' },
   ];
 
-  Array.from({ length: stream.length + 1 }, (_, cut) => cut).forEach((cut) => {
+  Array.from({ length: stream.length + 1 }, (_, splitAt) => splitAt).forEach((splitAt) => {
     const read = createEventReader();
-    t.deepEqual([...read(stream.slice(0, cut)), ...read(stream.slice(cut))], expected);
+    t.deepEqual([...read(stream.slice(0, splitAt)), ...read(stream.slice(splitAt))], expected);
   });
 });
--- a/packages/bench/__tests__/goodput.test.ts
+++ b/packages/bench/__tests__/goodput.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { expectedOutput } from '@bluebellhitch/standins';
-import { accountGoodput, judge, p95Of } from '../src/accounting/goodput';
-import type { AnswerEnd, ModelAnswer, PlainAnswer } from '../src/load/answers';
+import { summarizeGoodput, evaluateResponse, computeP95 } from '../src/accounting/goodput';
+import type { ResponseEnd, ModelResponse, PlainResponse } from '../src/load/responses';
 
 const engineModel = 'bond-drafter';
 const options = {
@@ -10,20 +10,20 @@
   fromMs: 0,
   toMs: 10_000,
 };
-const whole: AnswerEnd = { kind: 'complete' };
+const complete: ResponseEnd = { kind: 'complete' };
 
-interface AnswerShape {
+interface ResponseShape {
   atMs?: number;
-  end?: AnswerEnd;
+  end?: ResponseEnd;
   text?: string;
   firstTokenMs?: number;
   gapsMs?: number[];
 }
 
-function modelAnswer(shape: AnswerShape = {}): ModelAnswer {
+function createModelResponse(shape: ResponseShape = {}): ModelResponse {
   const prompt = 'Draft a notice.';
   const maxOutputTokens = 20;
-  const { atMs = 100, end = whole, firstTokenMs = 200 } = shape;
+  const { atMs = 100, end = complete, firstTokenMs = 200 } = shape;
   const { gapsMs = Array.from({ length: maxOutputTokens - 1 }, () => 20) } = shape;
   return {
     arrival: {
@@ -45,7 +45,7 @@
   };
 }
 
-function plainAnswer(text: string, end: AnswerEnd = whole): PlainAnswer {
+function createPlainResponse(text: string, end: ResponseEnd = complete): PlainResponse {
   return {
     arrival: {
       kind: 'plain',
@@ -54,7 +54,7 @@
       method: 'GET',
       path: '/balance/call-1',
       marker: 'call-1',
-      keyed: false,
+      hasIdempotencyKey: false,
       className: 'counter',
     },
     end,
@@ -63,74 +63,80 @@
   };
 }
 
-test('an answer is good when it is whole, own and within both targets', (t) => {
-  t.is(judge(modelAnswer(), options), 'good');
-  t.is(judge(modelAnswer({ firstTokenMs: 620 }), options), 'good');
-  t.is(judge(modelAnswer({ firstTokenMs: 621 }), options), 'late-first-token');
-  t.is(judge(modelAnswer({ gapsMs: [29] }), options), 'late-between-tokens');
+test('a response is good if it is complete, has the expected text and meets both targets', (t) => {
+  t.is(evaluateResponse(createModelResponse(), options), 'good');
+  t.is(evaluateResponse(createModelResponse({ firstTokenMs: 620 }), options), 'good');
+  t.is(evaluateResponse(createModelResponse({ firstTokenMs: 621 }), options), 'late-first-token');
+  t.is(evaluateResponse(createModelResponse({ gapsMs: [29] }), options), 'late-between-tokens');
 });
 
-test('one gap in twenty may be long', (t) => {
+test('one gap in twenty may be above the target', (t) => {
   const gaps = (longCount: number) =>
     Array.from({ length: 20 }, (_, index) => (index < longCount ? 500 : 20));
 
-  t.is(judge(modelAnswer({ gapsMs: gaps(1) }), options), 'good');
-  t.is(judge(modelAnswer({ gapsMs: gaps(2) }), options), 'late-between-tokens');
-  t.is(p95Of([]), 0);
+  t.is(evaluateResponse(createModelResponse({ gapsMs: gaps(1) }), options), 'good');
+  t.is(evaluateResponse(createModelResponse({ gapsMs: gaps(2) }), options), 'late-between-tokens');
+  t.is(computeP95([]), 0);
 });
 
-test('a whole answer with another text is wrong, however fast', (t) => {
-  const { text } = modelAnswer();
+test('a complete response with another text is wrong, however fast it is', (t) => {
+  const { text } = createModelResponse();
 
-  t.is(judge(modelAnswer({ text: text.slice(0, -1) }), options), 'wrong');
-  t.is(judge(modelAnswer({ text: `${text} bond` }), options), 'wrong');
+  t.is(evaluateResponse(createModelResponse({ text: text.slice(0, -1) }), options), 'wrong');
+  t.is(evaluateResponse(createModelResponse({ text: `${text} bond` }), options), 'wrong');
 });
 
-test('refusals, broken answers and wrong ones count against goodput, callers who left do not', (t) => {
-  const account = accountGoodput(
+test('refused, incomplete and wrong responses count against goodput, cancelled ones do not', (t) => {
+  const summary = summarizeGoodput(
     [
-      modelAnswer(),
-      modelAnswer({ text: 'of another request' }),
-      modelAnswer({ end: { kind: 'refused', status: 503, reason: 'no-capacity', notRun: true } }),
-      modelAnswer({ end: { kind: 'incomplete', reason: 'incomplete-answer' } }),
-      modelAnswer({ end: { kind: 'cancelled' } }),
+      createModelResponse(),
+      createModelResponse({ text: 'of another request' }),
+      createModelResponse({
+        end: { kind: 'refused', status: 503, reason: 'no-capacity', notRun: true },
+      }),
+      createModelResponse({ end: { kind: 'incomplete', reason: 'incomplete-answer' } }),
+      createModelResponse({ end: { kind: 'cancelled' } }),
     ],
     options,
   );
 
-  t.is(account.offered, 4);
-  t.is(account.good, 1);
-  t.is(account.goodput, 0.25);
-  t.deepEqual(account.verdicts, { good: 1, wrong: 1, refused: 1, incomplete: 1, cancelled: 1 });
-  t.deepEqual(account.refusals, { 'no-capacity': 1, 'incomplete: incomplete-answer': 1 });
-  t.is(account.refusedNotRun, 1);
+  t.is(summary.offered, 4);
+  t.is(summary.good, 1);
+  t.is(summary.goodput, 0.25);
+  t.deepEqual(summary.verdicts, { good: 1, wrong: 1, refused: 1, incomplete: 1, cancelled: 1 });
+  t.deepEqual(summary.refusals, { 'no-capacity': 1, 'incomplete: incomplete-answer': 1 });
+  t.is(summary.refusedNotRun, 1);
 });
 
-test('the mean gap is a second, milder measure', (t) => {
+test('goodput by the mean gap tolerates a few long gaps', (t) => {
   const gapsMs = [...Array.from({ length: 18 }, () => 20), 60, 60];
-  const account = accountGoodput([modelAnswer({ gapsMs })], options);
+  const summary = summarizeGoodput([createModelResponse({ gapsMs })], options);
 
-  t.is(account.goodput, 0);
-  t.is(account.goodputByMeanGap, 1);
+  t.is(summary.goodput, 0);
+  t.is(summary.goodputByMeanGap, 1);
 });
 
-test('only arrivals of the window count', (t) => {
-  const account = accountGoodput(
-    [modelAnswer({ atMs: 999 }), modelAnswer({ atMs: 1_000 }), modelAnswer({ atMs: 2_000 })],
+test('only requests that arrive in the window count', (t) => {
+  const summary = summarizeGoodput(
+    [
+      createModelResponse({ atMs: 999 }),
+      createModelResponse({ atMs: 1_000 }),
+      createModelResponse({ atMs: 2_000 }),
+    ],
     { ...options, fromMs: 1_000, toMs: 2_000 },
   );
 
-  t.is(account.offered, 1);
-  t.is(account.completedPerSecond, 1);
-  t.is(account.outputTokensPerSecond, 20);
+  t.is(summary.offered, 1);
+  t.is(summary.completedPerSecond, 1);
+  t.is(summary.outputTokensPerSecond, 20);
 });
 
-test('a plain answer must name its own call', (t) => {
-  const { plain } = accountGoodput(
+test('a plain response must contain the marker of its call', (t) => {
+  const { plain } = summarizeGoodput(
     [
-      plainAnswer('{"account":"call-1"}'),
-      plainAnswer('{"account":"call-2"}'),
-      plainAnswer('', { kind: 'connection-failed', reason: 'ECONNRESET' }),
+      createPlainResponse('{"account":"call-1"}'),
+      createPlainResponse('{"account":"call-2"}'),
+      createPlainResponse('', { kind: 'connection-failed', reason: 'ECONNRESET' }),
     ],
     options,
   );
@@ -140,10 +146,10 @@
   t.is(plain.wrong, 1);
 });
 
-test('an empty window has no goodput', (t) => {
-  const account = accountGoodput([], options);
+test('goodput and quantiles of an empty window are 0', (t) => {
+  const summary = summarizeGoodput([], options);
 
-  t.is(account.goodput, 0);
-  t.is(account.firstTokenMs.count, 0);
-  t.is(account.firstTokenMs.max, 0);
+  t.is(summary.goodput, 0);
+  t.is(summary.firstTokenMs.count, 0);
+  t.is(summary.firstTokenMs.max, 0);
 });
--- a/packages/bench/__tests__/helpers/callers.ts
+++ b/packages/bench/__tests__/helpers/callers.ts
@@ -1,14 +1,14 @@
-/** Requests as callers send them, and what they make of the answer. */
+/** Sends requests as callers do and classifies the responses as callers see them. */
 
-/** How a streamed answer ended, as the caller can tell. */
-export type StreamEnd =
-  /** The end marker came. */
-  | { kind: 'whole'; text: string }
-  /** A status that is not 2xx, or an error event in the stream. */
+/** How a streamed response ended, as seen by the caller. */
+export type StreamOutcome =
+  /** Ended with the end marker. */
+  | { kind: 'complete'; text: string }
+  /** Status other than 2xx, or an error event in the stream. */
   | { kind: 'error'; detail: string }
-  /** The connection broke; the HTTP client reports it. */
+  /** The connection was lost and the HTTP client reported it. */
   | { kind: 'broken'; detail: string }
-  /** The stream ended properly without its end marker: what must never happen. */
+  /** The stream ended normally but without the end marker, which must never happen. */
   | { kind: 'truncated'; text: string };
 
 export interface CompletionOptions {
@@ -26,11 +26,11 @@
 const doneMarker = '[DONE]';
 
 /** Sends a streamed completion and reads it to its end. */
-export async function streamCompletion(options: CompletionOptions): Promise<StreamEnd> {
+export async function streamCompletion(options: CompletionOptions): Promise<StreamOutcome> {
   try {
     const response = await sendCompletion(options);
     const body = await response.text();
-    return response.ok ? endOfStream(body) : { kind: 'error', detail: body };
+    return response.ok ? parseStreamOutcome(body) : { kind: 'error', detail: body };
   } catch (error) {
     return { kind: 'broken', detail: String(error) };
   }
@@ -50,7 +50,7 @@
   });
 }
 
-function endOfStream(body: string): StreamEnd {
+function parseStreamOutcome(body: string): StreamOutcome {
   const data = body
     .split('\n')
     .filter((line) => line.startsWith('data: '))
@@ -63,10 +63,10 @@
   if (failure !== undefined) {
     return { kind: 'error', detail: JSON.stringify(failure) };
   }
-  return data.at(-1) === doneMarker ? { kind: 'whole', text } : { kind: 'truncated', text };
+  return data.at(-1) === doneMarker ? { kind: 'complete', text } : { kind: 'truncated', text };
 }
 
-/** One value of a metric without labels or with these exact ones; 0 where it is absent. */
+/** Reads one series of a metric, given by name and exact labels; 0 if it is absent. */
 export async function readMetric(adminAddress: string, series: string): Promise<number> {
   const text = await (await fetch(`${adminAddress}/metrics`)).text();
   const line = text.split('\n').find((candidate) => candidate.startsWith(`${series} `));
--- a/packages/bench/__tests__/helpers/quickstart.ts
+++ b/packages/bench/__tests__/helpers/quickstart.ts
@@ -1,4 +1,4 @@
-/** Runs `scripts/start.mjs` as others do and reads what it prints. */
+/** Runs `scripts/start.mjs` as a user does and parses its output. */
 import { spawn } from 'node:child_process';
 import { join } from 'node:path';
 import { createInterface } from 'node:readline';
@@ -14,21 +14,21 @@
   pid: number;
   lines: string[];
   processes: StartedProcess[];
-  /** Callers' addresses of the entries, once a request would succeed. */
+  /** Resolves with the callers' addresses of the entries once they serve requests. */
   ready: Promise<string[]>;
   exited: Promise<number | null>;
-  /** For the end of a test: stops what is left, by SIGKILL where the graceful stop takes long. */
+  /** For the end of a test: stops all remaining processes, with SIGKILL after a timeout of 10 s. */
   end(): Promise<void>;
-  /** The process of that name; throws where there is none. */
+  /** Returns the process with that name; throws if there is none. */
   processNamed(name: string): StartedProcess;
 }
 
 const repositoryRoot = join(import.meta.dirname, '..', '..', '..', '..');
-const stopBoundMs = 10_000;
+const stopTimeoutMs = 10_000;
 const startedPattern = /^started (\S+) pid=(\d+) (.*)$/;
 const readyPattern = /^ready on (.*)$/;
 
-/** The script itself, or `npm start` as a shell has it. */
+/** Runs the script directly or through `npm start`. */
 export type Launcher = 'node' | 'npm';
 
 export const freePorts = { BLUEBELL_ENTRY_PORT: '0', BLUEBELL_ADMIN_PORT: '0' };
@@ -46,8 +46,8 @@
     env: {
       ...process.env,
       ...ports,
-      // As under npm, the script stops when its parent is gone: a test process that is cut off by a
-      // timeout would otherwise leave a whole fleet behind.
+      // Makes the script stop when its parent exits, as under npm. Otherwise a test process that is killed by a
+      // timeout would leave a whole fleet running.
       npm_lifecycle_event: 'start',
     },
     stdio: ['ignore', 'pipe', 'inherit'],
@@ -69,9 +69,11 @@
         resolve(addresses.split(' and '));
       }
     });
-    child.once('exit', () => reject(new Error(`ended before it was ready:\n${lines.join('\n')}`)));
+    child.once('exit', () =>
+      reject(new Error(`the start script exited before it was ready:\n${lines.join('\n')}`)),
+    );
   });
-  // A test that waits for the exit alone does not look at `ready`.
+  // A test that waits only for the exit does not handle a rejection of `ready`.
   ready.catch(() => undefined);
   return {
     pid: child.pid ?? 0,
@@ -81,7 +83,7 @@
     exited,
     async end() {
       if (child.exitCode === null && child.kill('SIGTERM')) {
-        await Promise.race([exited, delay(stopBoundMs)]);
+        await Promise.race([exited, delay(stopTimeoutMs)]);
       }
       child.kill('SIGKILL');
       await eventually(() => processes.every((started) => !isRunning(started.pid)));
@@ -96,7 +98,7 @@
   };
 }
 
-/** One quickstart for several tests: started by the first that asks, ended by the hook after them all. */
+/** One quickstart for several tests: started by the first test that uses it, stopped by an `after` hook. */
 export function shareQuickstart(launcher: Launcher = 'node') {
   let shared: Quickstart | undefined;
   return {
@@ -111,8 +113,8 @@
 }
 
 function startedProcess(match: RegExpExecArray): StartedProcess {
-  const [, name = '', pid = '', places = ''] = match;
-  const addresses = places.split(' ').map((place) => place.split('='));
+  const [, name = '', pid = '', addressFields = ''] = match;
+  const addresses = addressFields.split(' ').map((field) => field.split('='));
   return { name, pid: Number(pid), addresses: Object.fromEntries(addresses) };
 }
 
@@ -125,12 +127,12 @@
   }
 }
 
-/** Polls until the condition holds; resolves with whether it did within the bound. */
+/** Polls until the condition holds; resolves with false if it does not within the timeout. */
 export async function eventually(
   condition: () => boolean | Promise<boolean>,
-  boundMs = 10_000,
+  timeoutMs = 10_000,
 ): Promise<boolean> {
-  const deadlineMs = performance.now() + boundMs;
+  const deadlineMs = performance.now() + timeoutMs;
   while (performance.now() < deadlineMs) {
     if (await condition()) {
       return true;
--- a/packages/bench/__tests__/journalReport.test.ts
+++ b/packages/bench/__tests__/journalReport.test.ts
@@ -4,7 +4,7 @@
 import test from 'ava';
 import { readJournal } from '../src/journal/journalEntries';
 import { runJournalReport } from '../src/journal/journalReport';
-import { lossOf } from '../src/journal/worthCharts';
+import { computeLoss } from '../src/journal/worthCharts';
 
 const day = (name: string, worth: number, rules = {}) => ({
   name,
@@ -36,7 +36,7 @@
   return directory;
 }
 
-test('entries come in the order of their runs, days that were given up count as nothing', async (t) => {
+test('entries are ordered by start time, and an aborted day has a worth of 0', async (t) => {
   const journal = await writeJournal([
     entry('first', '2026-01-01T10:00:00Z'),
     entry('second', '2026-01-01T11:00:00Z', { days: [{ name: 'quiet-1' }] }),
@@ -50,21 +50,21 @@
   t.like(entries[1]?.days[0], { worth: 0, priceLoss: 0, hasBrokenRule: false });
 });
 
-test('what a day lost is told by part, and adds up to what is missing', async (t) => {
+test('losses of a day are computed for each part and for prices', async (t) => {
   const [first] = await readJournal(await writeJournal([entry('a', '2026-01-01T10:00:00Z')]));
   const lossy = first?.days[0];
   if (lossy === undefined) {
     t.fail('no day');
     return;
   }
-  const losses = ['whole day', 'worst windows', 'prices'].map((name) => lossOf(lossy, name));
+  const losses = ['whole day', 'worst windows', 'prices'].map((name) => computeLoss(lossy, name));
   t.deepEqual(
     losses.map((loss) => loss.toFixed(2)),
     ['0.04', '0.45', '0.02'],
   );
 });
 
-test('the report is one page with a chart of each site, and names broken rules', async (t) => {
+test('the report is one page with charts for each site, and counts days with broken rules', async (t) => {
   const journal = await writeJournal([
     entry('aaaa', '2026-01-01T10:00:00Z'),
     entry('bbbb', '2026-01-01T11:00:00Z', { days: [day('quiet-1', 0, { DRAIN: 1 })] }),
--- a/packages/bench/__tests__/metricsText.test.ts
+++ b/packages/bench/__tests__/metricsText.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { parseMetrics, sumOf } from '../src/accounting/metricsText';
+import { parseMetrics, sumSamples } from '../src/accounting/metricsText';
 
-test('metrics are summed over their labels', (t) => {
+test('a metric is summed over all its label sets', (t) => {
   const samples = parseMetrics(
     [
       '# HELP x things',
@@ -12,8 +12,8 @@
     ].join('\n'),
   );
 
-  t.is(sumOf(samples, 'x_total'), 2.5);
-  t.is(sumOf(samples, 'y'), 3);
-  t.is(sumOf(samples, 'absent'), 0);
+  t.is(sumSamples(samples, 'x_total'), 2.5);
+  t.is(sumSamples(samples, 'y'), 3);
+  t.is(sumSamples(samples, 'absent'), 0);
   t.deepEqual(samples[0]?.labels, { cause: 'a', service: 's,1' });
 });
--- a/packages/bench/__tests__/quickstart.test.ts
+++ b/packages/bench/__tests__/quickstart.test.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { createServer, type AddressInfo } from 'node:net';
 import test, { type ExecutionContext } from 'ava';
-import { readMetric, streamCompletion, type StreamEnd } from './helpers/callers';
+import { readMetric, streamCompletion, type StreamOutcome } from './helpers/callers';
 import {
   eventually,
   freePorts,
@@ -12,25 +12,25 @@
 } from './helpers/quickstart';
 
 const prompt = 'Draft a maturity notice for a series EE bond bought in May 1994.';
-const longAnswerTokens = 250;
+const longResponseTokens = 250;
 
-/** Serves the tests up to the one that stops it; started by the first that runs. */
+/** Shared by the tests up to the one that stops it gracefully. */
 const plannedStop = shareQuickstart('npm');
-/** Loses a plain service, then an engine, and is then stopped. */
+/** Shared by the tests that kill a plain service, then an engine, and stop the rest gracefully. */
 const lostServers = shareQuickstart();
 test.after.always(() => Promise.all([plannedStop.end(), lostServers.end()]));
 
-function startLongAnswers(address: string, count: number): Promise<StreamEnd>[] {
+function startLongResponses(address: string, count: number): Promise<StreamOutcome>[] {
   return Array.from({ length: count }, (_, index) =>
     streamCompletion({
       address,
       prompt: `${prompt} Copy ${index}.`,
-      maxTokens: longAnswerTokens,
+      maxTokens: longResponseTokens,
     }),
   );
 }
 
-/** Name of a decode worker, without the suffix of its agent, that streams answers right now. */
+/** Finds a decode worker that is streaming responses; returns its name without the suffix of its agent. */
 async function findDecodingWorker(quickstart: Quickstart): Promise<string> {
   const agents = quickstart.processes.filter(
     ({ name, pid }) => /-decode-\d+-agent$/.test(name) && isRunning(pid),
@@ -49,8 +49,8 @@
   return found[0] ?? 'no worker is decoding';
 }
 
-function isHonest(end: StreamEnd): boolean {
-  return end.kind !== 'truncated';
+function isNotTruncated(outcome: StreamOutcome): boolean {
+  return outcome.kind !== 'truncated';
 }
 
 test.serial('--once shows a streamed completion and a plain lookup and exits 0', async (t) => {
@@ -64,7 +64,7 @@
   t.false(quickstart.processes.some(({ pid }) => isRunning(pid)));
 });
 
-test.serial('the other institution works as well', async (t) => {
+test.serial('--once works with the other institution as well', async (t) => {
   const quickstart = startQuickstart(['--once', '--example', 'sahlat']);
   t.teardown(quickstart.end);
 
@@ -74,15 +74,15 @@
   t.regex(output, /GET \/dispatch\/truck-31/);
 });
 
-test.serial('the same prompt has the same answer, and max_tokens is honoured', async (t) => {
+test.serial('the same prompt gets the same output, and max_tokens is honoured', async (t) => {
   const quickstart = plannedStop.get();
   const [address = ''] = await quickstart.ready;
-  const ends = await Promise.all(
+  const outcomes = await Promise.all(
     [1, 2].map(() => streamCompletion({ address, prompt, maxTokens: 20 })),
   );
   const longer = await streamCompletion({ address, prompt, maxTokens: 40 });
 
-  const texts = [...ends, longer].map((end) => (end.kind === 'whole' ? end.text : end.kind));
+  const texts = [...outcomes, longer].map((one) => (one.kind === 'complete' ? one.text : one.kind));
   t.is(texts[0], texts[1]);
   t.true(texts[2]?.startsWith(texts[0] ?? '-'));
   t.true((texts[2] ?? '').length > (texts[0] ?? '').length);
@@ -97,28 +97,28 @@
   t.regex(unmarked.kind === 'error' ? unmarked.detail : '', /"status":400/);
 });
 
-test.serial('SIGTERM finishes answers in progress, exits 0 and leaves nothing', async (t) => {
-  // A planned stop while callers read their answers. The entry stops first and waits for its streams;
-  // the agents and engines under them must still be there. Stopping all at once would cut them off.
+test.serial('SIGTERM finishes responses in progress, exits 0 and leaves no process', async (t) => {
+  // A planned stop while callers read streamed responses. The entry stops first and waits for its streams, which
+  // need the agents and engines until then. Stopping all processes at once would truncate the streams.
   const quickstart = plannedStop.get();
   const [address = ''] = await quickstart.ready;
-  const answers = startLongAnswers(address, 4);
+  const responses = startLongResponses(address, 4);
   await findDecodingWorker(quickstart);
   process.kill(quickstart.pid, 'SIGTERM');
 
-  const ends = await Promise.all(answers);
+  const outcomes = await Promise.all(responses);
   t.deepEqual(
-    ends.map(({ kind }) => kind),
-    ['whole', 'whole', 'whole', 'whole'],
+    outcomes.map(({ kind }) => kind),
+    ['complete', 'complete', 'complete', 'complete'],
   );
   t.is(await quickstart.exited, 0);
   t.false(quickstart.processes.some(({ pid }) => isRunning(pid)));
 });
 
 (['node', 'npm'] as const).forEach((launcher) => {
-  test.serial(`nothing is left when the start by ${launcher} is killed`, async (t) => {
-    // The script dies by SIGKILL, or npm above it does, and can stop nothing. Every process must notice
-    // that its parent is gone; else a dozen of them keep their ports, and the next start fails.
+  test.serial(`no process is left when the start by ${launcher} is killed`, async (t) => {
+    // The script or its parent npm is killed by SIGKILL and cannot stop the other processes. Each must notice that
+    // its parent is gone; otherwise a dozen of them keep their ports, and the next start fails.
     const quickstart = startQuickstart([], launcher);
     t.teardown(quickstart.end);
     await quickstart.ready;
@@ -128,10 +128,10 @@
   });
 });
 
-test.serial('a port in use ends the start with one line that names it', async (t) => {
-  // Something else listens where an agent's admin port would be, as a forgotten quickstart does. The
-  // start ends at once with exit code 1 and one line, before any process runs; else the failure of one
-  // agent shows up seconds later, among the output of a dozen others.
+test.serial('the start exits with one line that names a port in use', async (t) => {
+  // Another process, such as a forgotten quickstart, listens on the admin port of an agent. The start must exit
+  // with code 1 and one line before it starts any process; otherwise the failure of one agent would appear seconds
+  // later among the output of a dozen other processes.
   const server = createServer().listen(0, '127.0.0.1');
   t.teardown(() => server.close());
   await once(server, 'listening');
@@ -149,33 +149,33 @@
   t.regex(afterBuild[0] ?? '', new RegExp(`^EADDRINUSE: 127\\.0\\.0\\.1 port (\\d+, )*${port}\\b`));
 });
 
-/** Kills a process while six answers stream, and waits for their ends. */
-async function killWhileAnswering(
+/** Kills a process while six responses are streamed, and waits for their outcomes. */
+async function killWhileStreaming(
   t: ExecutionContext,
   quickstart: Quickstart,
-  nameOf: (worker: string) => string,
-): Promise<StreamEnd[]> {
+  resolveProcessName: (worker: string) => string,
+): Promise<StreamOutcome[]> {
   const [address = ''] = await quickstart.ready;
-  const answers = startLongAnswers(address, 6);
-  const victim = quickstart.processNamed(nameOf(await findDecodingWorker(quickstart)));
+  const responses = startLongResponses(address, 6);
+  const victim = quickstart.processNamed(resolveProcessName(await findDecodingWorker(quickstart)));
   process.kill(victim.pid, 'SIGKILL');
-  const ends = await Promise.all(answers);
-  t.log(victim.name, ends.map(({ kind }) => kind).join(' '));
-  t.true(ends.every(isHonest), victim.name);
-  return ends;
+  const outcomes = await Promise.all(responses);
+  t.log(victim.name, outcomes.map(({ kind }) => kind).join(' '));
+  t.true(outcomes.every(isNotTruncated), victim.name);
+  return outcomes;
 }
 
-function nextRequestWorks(address: string): Promise<boolean> {
+function doesNextRequestWork(address: string): Promise<boolean> {
   return eventually(async () => {
-    const end = await streamCompletion({ address, prompt, maxTokens: 5 });
-    return end.kind === 'whole';
+    const outcome = await streamCompletion({ address, prompt, maxTokens: 5 });
+    return outcome.kind === 'complete';
   });
 }
 
-test.serial('a plain service goes on with one instance fewer', async (t) => {
-  // A counter's backend server dies; its agent lives on and refuses as not run. Each lookup must reach
-  // the instance that is left, the first one by a retry. An entry that keeps choosing the dead one
-  // soon spends its retry budget, and customers at the counter see 503 while a server is idle.
+test.serial('a plain service continues after the loss of an instance', async (t) => {
+  // A backend server dies; its agent survives and refuses requests as not run. Each lookup must reach the remaining
+  // instance, the first one by a retry. An entry that keeps choosing the dead server soon uses up its retry budget,
+  // and callers get status 503 although a server is idle.
   const quickstart = lostServers.get();
   const [address = ''] = await quickstart.ready;
   const lookUp = async () => (await fetch(`${address}/balance/4711`)).status;
@@ -192,37 +192,37 @@
   );
 });
 
-test.serial('an engine may die', async (t) => {
-  // An engine is killed while it streams answers; its agent lives on. Each caller sees a whole answer,
-  // continued elsewhere, or an error event, never a stream that ends as if it were whole. The next
-  // request works, because other engines are free, and the agent can still be stopped gracefully.
+test.serial('no stream is truncated when an engine dies', async (t) => {
+  // An engine is killed while it streams responses; its agent survives. Each caller gets a complete response, which
+  // another engine continued, or an error event, but never a truncated stream that ends normally. The next request
+  // works, because other engines are free, and the agent can still be stopped gracefully.
   const quickstart = lostServers.get();
   const [address = ''] = await quickstart.ready;
-  await killWhileAnswering(t, quickstart, (worker) => worker);
+  await killWhileStreaming(t, quickstart, (worker) => worker);
 
-  t.true(await nextRequestWorks(address), 'the next request');
+  t.true(await doesNextRequestWork(address), 'the next request');
   process.kill(quickstart.pid, 'SIGTERM');
   t.true(await eventually(() => !isRunning(quickstart.pid)), 'a stop within 10 s');
   t.is(await quickstart.exited, 0);
 });
 
-test.serial('an agent, the platform and an entry may die', async (t) => {
-  // First an agent dies under its streams: whole answers, error events, and the next request goes
-  // elsewhere. Then the platform: nothing in progress notices, new requests run on the last accepted
-  // documents, and only those that must not be repeated are refused as not run, since nothing could
-  // prove that they run once. Last an entry: its callers see a broken connection, the other serves.
+test.serial('no stream is truncated when an agent, the platform or an entry dies', async (t) => {
+  // First an agent is killed: its streams end complete or with an error event, and the next request uses another
+  // agent. Then the platform: requests in progress are not affected, new ones use the last accepted documents, and
+  // only those that must not be repeated are refused as not run, because it cannot be ensured that they run only
+  // once. Last an entry: its callers get a connection error, and the other entry continues to serve.
   const quickstart = startQuickstart(['--entries', '2']);
   t.teardown(quickstart.end);
   const [firstAddress = '', secondAddress = ''] = await quickstart.ready;
-  await killWhileAnswering(t, quickstart, (worker) => `${worker}-agent`);
-  t.true(await nextRequestWorks(firstAddress), 'after the agent');
+  await killWhileStreaming(t, quickstart, (worker) => `${worker}-agent`);
+  t.true(await doesNextRequestWork(firstAddress), 'after the agent');
 
-  const platformEnds = await killWhileAnswering(t, quickstart, () => 'platform');
+  const platformOutcomes = await killWhileStreaming(t, quickstart, () => 'platform');
   t.true(
-    platformEnds.every(({ kind }) => kind === 'whole'),
+    platformOutcomes.every(({ kind }) => kind === 'complete'),
     'without the platform',
   );
-  t.true(await nextRequestWorks(firstAddress), 'after the platform');
+  t.true(await doesNextRequestWork(firstAddress), 'after the platform');
   const claimed = await streamCompletion({
     address: firstAddress,
     prompt,
@@ -232,10 +232,10 @@
   t.is(claimed.kind, 'error');
   t.regex(claimed.kind === 'error' ? claimed.detail : '', /"notRun":true/);
 
-  const entryEnds = await killWhileAnswering(t, quickstart, () => 'entry-1');
+  const entryOutcomes = await killWhileStreaming(t, quickstart, () => 'entry-1');
   t.true(
-    entryEnds.every(({ kind }) => kind === 'broken'),
+    entryOutcomes.every(({ kind }) => kind === 'broken'),
     'callers of the killed entry',
   );
-  t.true(await nextRequestWorks(secondAddress), 'after the entry');
+  t.true(await doesNextRequestWork(secondAddress), 'after the entry');
 });
--- a/packages/bench/__tests__/stretchedEngine.test.ts
+++ b/packages/bench/__tests__/stretchedEngine.test.ts
@@ -2,10 +2,10 @@
 import { goodputEngine, stretchedEngine } from '../src/experiments/goodput';
 import { scaleEngine } from '../src/fleet/timeScale';
 
-// Agents predict transfers by the rate of 4 GB/s that they take their links to have. With a link of half of
-// that in a stretched fleet each transfer takes twice as long as predicted: prompts are let in whose first
-// token then comes late, and the figures blame the policy.
-test('a stretched fleet keeps the rate of its links and takes longer for its transfers', (t) => {
+// Agents predict transfer times from an assumed link rate of 4 GB/s. If a fleet with scaled times had links of half
+// that rate, each transfer would take twice as long as predicted: prompts would be admitted whose first token is then
+// late, and the figures would show this as a weakness of the policy.
+test('a fleet with scaled times keeps its link rate and takes longer for transfers', (t) => {
   const timeScale = 4;
   const engine = scaleEngine(stretchedEngine(timeScale), timeScale);
   const transferMs = ({ kvBytesPerToken, linkBytesPerSecond }: typeof engine) =>
--- a/packages/bench/src/accounting/goodput.ts
+++ b/packages/bench/src/accounting/goodput.ts
@@ -1,61 +1,66 @@
 /**
- * Judges the answers of a run. Goodput is the share of offered model requests whose answer was whole,
- * the request's own and within both latency targets; requests whose caller left are not offered.
+ * Evaluates the responses of a run. Goodput is the share of offered model requests whose response was complete,
+ * had the expected text and met both latency targets. Requests that their caller cancelled do not count as offered.
  */
 import { expectedOutput } from '@bluebellhitch/standins';
 import type { ServiceDocument } from '@bluebellhitch/document';
-import { isModelAnswer, type Answer, type ModelAnswer, type PlainAnswer } from '../load/answers';
-import { quantilesOf, type Quantiles } from './quantiles';
+import {
+  isModelResponse,
+  type CallerResponse,
+  type ModelResponse,
+  type PlainResponse,
+} from '../load/responses';
+import { computeQuantiles, type Quantiles } from './quantiles';
 
 export type Verdict =
-  /** Whole, own and within both targets. */
+  /** Complete, with the expected text and within both targets. */
   | 'good'
-  /** Whole and own, but late. */
+  /** Complete and with the expected text, but late. */
   | 'late-first-token'
   | 'late-between-tokens'
-  /** Ended as if whole, with another text than the request's own. */
+  /** Ended with its end marker, but with a text other than the expected one. */
   | 'wrong'
   | 'refused'
   | 'incomplete'
   | 'connection-failed'
   | 'cancelled';
 
-const keptDetails = 20;
+const maxRefusalDetails = 20;
 
-export interface JudgeOptions {
+export interface EvaluateOptions {
   targets: ServiceDocument['targets'];
-  /** Model that the engines run. */
+  /** Name of the model that the engines run. */
   engineModel: string;
 }
 
-export interface GoodputAccount {
-  /** Model requests of the window whose caller stayed. */
+export interface GoodputSummary {
+  /** Model requests of the window that were not cancelled. */
   offered: number;
   good: number;
-  /** `good` over `offered`. */
+  /** `good` divided by `offered`. */
   goodput: number;
-  /** The same with the mean time between tokens in place of its 95th percentile. */
+  /** Goodput with the mean time between tokens in place of its 95th percentile. */
   goodputByMeanGap: number;
   verdicts: Partial<Record<Verdict, number>>;
   refusals: Record<string, number>;
-  /** A few different sentences of the refusals, each behind its reason. */
+  /** Up to 20 distinct `detail` texts of refusals, each prefixed with its reason. */
   refusalDetails: string[];
-  /** Refusals that promise that the request did not run. */
+  /** Refusals that state that the request did not run. */
   refusedNotRun: number;
   firstTokenMs: Quantiles;
-  /** All gaps of complete answers. */
+  /** All gaps between tokens of complete responses. */
   betweenTokensMs: Quantiles;
-  /** Each complete answer's own 95th percentile. */
+  /** The 95th percentile of the gaps of each complete response. */
   betweenTokensP95Ms: Quantiles;
-  /** Arrival to end of complete answers. */
+  /** From the arrival of a request to the end of its complete response. */
   completionMs: Quantiles;
-  /** Model requests answered completely, by second of the window. */
+  /** Complete responses to model requests, per second of the window. */
   completedPerSecond: number;
   outputTokensPerSecond: number;
-  plain: PlainAccount;
+  plain: PlainSummary;
 }
 
-export interface PlainAccount {
+export interface PlainSummary {
   offered: number;
   complete: number;
   wrong: number;
@@ -63,85 +68,95 @@
   completionMs: Quantiles;
 }
 
-export interface WindowOptions extends JudgeOptions {
-  /** Requests that arrived in this window count; milliseconds of the trace. */
+export interface WindowOptions extends EvaluateOptions {
+  /** Start of the window in milliseconds from the start of the trace; only requests that arrive in it count. */
   fromMs: number;
   toMs: number;
 }
 
-export function accountGoodput(answers: readonly Answer[], options: WindowOptions): GoodputAccount {
+export function summarizeGoodput(
+  responses: readonly CallerResponse[],
+  options: WindowOptions,
+): GoodputSummary {
   const { fromMs, toMs } = options;
-  const inWindow = answers.filter(({ arrival: { atMs } }) => atMs >= fromMs && atMs < toMs);
-  const models = inWindow.filter(isModelAnswer);
-  const plains = inWindow.filter((answer): answer is PlainAnswer => !isModelAnswer(answer));
-  const judged = models.map((answer) => ({ answer, verdict: judge(answer, options) }));
-  const offered = judged.filter(({ verdict }) => verdict !== 'cancelled').length;
-  const good = judged.filter(({ verdict }) => verdict === 'good').length;
-  const goodByMeanGap = models.filter((answer) => isGoodByMeanGap(answer, options)).length;
-  const complete = models.filter(({ end }) => end.kind === 'complete');
+  const inWindow = responses.filter(({ arrival: { atMs } }) => atMs >= fromMs && atMs < toMs);
+  const modelResponses = inWindow.filter(isModelResponse);
+  const plainResponses = inWindow.filter(
+    (response): response is PlainResponse => !isModelResponse(response),
+  );
+  const evaluated = modelResponses.map((response) => ({
+    response,
+    verdict: evaluateResponse(response, options),
+  }));
+  const offered = evaluated.filter(({ verdict }) => verdict !== 'cancelled').length;
+  const good = evaluated.filter(({ verdict }) => verdict === 'good').length;
+  const goodByMeanGap = modelResponses.filter((response) =>
+    isGoodByMeanGap(response, options),
+  ).length;
+  const complete = modelResponses.filter(({ end }) => end.kind === 'complete');
   const seconds = (toMs - fromMs) / 1000;
   return {
     offered,
     good,
     goodput: ratio(good, offered),
     goodputByMeanGap: ratio(goodByMeanGap, offered),
-    verdicts: countBy(judged, ({ verdict }) => verdict),
-    refusals: countBy(models, refusalReasonOf),
-    refusalDetails: detailsOf(models),
-    refusedNotRun: models.filter(({ end }) => end.kind === 'refused' && end.notRun === true).length,
-    firstTokenMs: quantilesOf(complete.flatMap(({ firstTokenMs }) => firstTokenMs ?? [])),
-    betweenTokensMs: quantilesOf(complete.flatMap(({ gapsMs }) => gapsMs)),
-    betweenTokensP95Ms: quantilesOf(complete.map(({ gapsMs }) => p95Of(gapsMs))),
-    completionMs: quantilesOf(complete.map(({ endMs }) => endMs)),
+    verdicts: countBy(evaluated, ({ verdict }) => verdict),
+    refusals: countBy(modelResponses, resolveFailureReason),
+    refusalDetails: collectRefusalDetails(modelResponses),
+    refusedNotRun: modelResponses.filter(({ end }) => end.kind === 'refused' && end.notRun === true)
+      .length,
+    firstTokenMs: computeQuantiles(complete.flatMap(({ firstTokenMs }) => firstTokenMs ?? [])),
+    betweenTokensMs: computeQuantiles(complete.flatMap(({ gapsMs }) => gapsMs)),
+    betweenTokensP95Ms: computeQuantiles(complete.map(({ gapsMs }) => computeP95(gapsMs))),
+    completionMs: computeQuantiles(complete.map(({ endMs }) => endMs)),
     completedPerSecond: complete.length / seconds,
-    outputTokensPerSecond: totalTokens(complete) / seconds,
-    plain: accountPlain(plains),
+    outputTokensPerSecond: countTokens(complete) / seconds,
+    plain: summarizePlain(plainResponses),
   };
 }
 
-/** What became of one model request. */
-export function judge(answer: ModelAnswer, options: JudgeOptions): Verdict {
-  if (answer.end.kind !== 'complete') {
-    return answer.end.kind;
+export function evaluateResponse(response: ModelResponse, options: EvaluateOptions): Verdict {
+  if (response.end.kind !== 'complete') {
+    return response.end.kind;
   }
-  if (!isOwnAnswer(answer, options.engineModel)) {
+  if (!hasExpectedText(response, options.engineModel)) {
     return 'wrong';
   }
   const { targets } = options;
-  if ((answer.firstTokenMs ?? Infinity) > targets.firstTokenMs) {
+  if ((response.firstTokenMs ?? Infinity) > targets.firstTokenMs) {
     return 'late-first-token';
   }
-  return p95Of(answer.gapsMs) > targets.betweenTokensMs ? 'late-between-tokens' : 'good';
+  return computeP95(response.gapsMs) > targets.betweenTokensMs ? 'late-between-tokens' : 'good';
 }
 
-function isGoodByMeanGap(answer: ModelAnswer, options: JudgeOptions): boolean {
+function isGoodByMeanGap(response: ModelResponse, options: EvaluateOptions): boolean {
   const { targets } = options;
-  const { gapsMs } = answer;
+  const { gapsMs } = response;
   const meanGapMs = gapsMs.reduce((sum, gapMs) => sum + gapMs, 0) / Math.max(1, gapsMs.length);
-  const verdict = judge(answer, options);
+  const verdict = evaluateResponse(response, options);
   return (
     verdict === 'good' ||
     (verdict === 'late-between-tokens' && meanGapMs <= targets.betweenTokensMs)
   );
 }
 
-/** The stand-ins' answer is a pure function of prompt and model. */
-function isOwnAnswer({ arrival, text }: ModelAnswer, engineModel: string): boolean {
+/** The output of the stand-in engines is a pure function of prompt and model. */
+function hasExpectedText({ arrival, text }: ModelResponse, engineModel: string): boolean {
   return text === expectedOutput(arrival.prompt, engineModel, arrival.maxOutputTokens).text();
 }
 
-function accountPlain(answers: readonly PlainAnswer[]): PlainAccount {
-  const complete = answers.filter(({ end }) => end.kind === 'complete');
+function summarizePlain(responses: readonly PlainResponse[]): PlainSummary {
+  const complete = responses.filter(({ end }) => end.kind === 'complete');
   return {
-    offered: answers.length,
+    offered: responses.length,
     complete: complete.length,
     wrong: complete.filter(({ arrival, text }) => !text.includes(arrival.marker)).length,
-    refusals: countBy(answers, refusalReasonOf),
-    completionMs: quantilesOf(complete.map(({ endMs }) => endMs)),
+    refusals: countBy(responses, resolveFailureReason),
+    completionMs: computeQuantiles(complete.map(({ endMs }) => endMs)),
   };
 }
 
-function refusalReasonOf({ end }: Answer): string | undefined {
+function resolveFailureReason({ end }: CallerResponse): string | undefined {
   switch (end.kind) {
     case 'refused':
       return end.reason;
@@ -153,13 +168,13 @@
   }
 }
 
-function detailsOf(answers: readonly ModelAnswer[]): string[] {
-  const details = answers.flatMap(({ end }) =>
+function collectRefusalDetails(responses: readonly ModelResponse[]): string[] {
+  const details = responses.flatMap(({ end }) =>
     end.kind === 'refused' ? [`${end.reason}: ${end.detail ?? ''}`] : [],
   );
-  // Figures within the sentences would make each one different.
+  // Numbers in the texts would make almost every one distinct.
   const distinct = new Map(details.map((detail) => [detail.replaceAll(/\d+/g, 'n'), detail]));
-  return [...distinct.values()].slice(0, keptDetails);
+  return [...distinct.values()].slice(0, maxRefusalDetails);
 }
 
 function countBy<Item, Key extends string>(
@@ -176,14 +191,14 @@
   return Object.fromEntries(counts) as Record<Key, number>;
 }
 
-/** Nearest rank; 0 for an answer of one token. */
-export function p95Of(values: readonly number[]): number {
+/** 95th percentile by the nearest-rank method; 0 for no values, as in a response of one token. */
+export function computeP95(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.ceil(sorted.length * 0.95) - 1] ?? 0;
 }
 
-function totalTokens(answers: readonly ModelAnswer[]): number {
-  return answers.reduce((sum, { gapsMs }) => sum + gapsMs.length + 1, 0);
+function countTokens(responses: readonly ModelResponse[]): number {
+  return responses.reduce((sum, { gapsMs }) => sum + gapsMs.length + 1, 0);
 }
 
 function ratio(part: number, whole: number): number {
--- a/packages/bench/src/accounting/metricsText.ts
+++ b/packages/bench/src/accounting/metricsText.ts
@@ -1,4 +1,4 @@
-/** Reads the Prometheus text that entries and agents serve at `/metrics`. */
+/** Parses the Prometheus text format that entries and agents serve at `/metrics`. */
 import { readText } from '../fleet/controlCalls';
 
 export interface MetricSample {
@@ -17,9 +17,9 @@
       return [];
     }
     const [, name = '', labelText = '', value = ''] = match;
-    const labels = [...labelText.matchAll(labelPattern)].map(([, key = '', text1 = '']) => [
+    const labels = [...labelText.matchAll(labelPattern)].map(([, key = '', labelValue = '']) => [
       key,
-      text1,
+      labelValue,
     ]);
     return [
       { name, labels: Object.fromEntries(labels) as Record<string, string>, value: Number(value) },
@@ -27,8 +27,8 @@
   });
 }
 
-/** Sum of a metric over all its labels; 0 where there is none. */
-export function sumOf(samples: readonly MetricSample[], name: string): number {
+/** Sums a metric over all its label sets; 0 if it is absent. */
+export function sumSamples(samples: readonly MetricSample[], name: string): number {
   return samples
     .filter((sample) => sample.name === name)
     .reduce((total, { value }) => total + value, 0);
--- a/packages/bench/src/accounting/prefillAccount.ts
+++ b/packages/bench/src/accounting/prefillTotals.ts
@@ -1,22 +1,22 @@
-/** Prefill work of a fleet: what its engines computed, and what of it nobody used. */
+/** Prefill work of a fleet: tokens that its engines computed, and those of them that were never used. */
 import type { EngineStats } from '@bluebellhitch/standins';
 import { readJson } from '../fleet/controlCalls';
 import { readMetrics } from './metricsText';
 
-export interface PrefillAccount {
+export interface PrefillTotals {
   prefillTokens: number;
   wastedTokens: number;
   preemptions: number;
 }
 
-export const emptyPrefillAccount: PrefillAccount = {
+export const emptyPrefillTotals: PrefillTotals = {
   prefillTokens: 0,
   wastedTokens: 0,
   preemptions: 0,
 };
 
-/** Sums what the engines at these addresses have counted since their start. */
-export async function readPrefillAccount(engineAddresses: string[]): Promise<PrefillAccount> {
+/** Sums the counters of the engines at these addresses since their start. */
+export async function readPrefillTotals(engineAddresses: string[]): Promise<PrefillTotals> {
   const stats = await Promise.all(
     engineAddresses.map((address) => readJson(`${address}/stats`) as Promise<EngineStats>),
   );
@@ -26,12 +26,14 @@
       wastedTokens: total.wastedTokens + wastedPrefillTokens,
       preemptions: total.preemptions + preemptions,
     }),
-    emptyPrefillAccount,
+    emptyPrefillTotals,
   );
 }
 
-/** Wasted tokens by cause, as the processes at these admin addresses counted them. */
-export async function readWasteByCause(adminAddresses: string[]): Promise<Record<string, number>> {
+/** Wasted prefill tokens by cause, from the metrics at these admin addresses. */
+export async function readWastedPrefillByCause(
+  adminAddresses: string[],
+): Promise<Record<string, number>> {
   const samples = (await Promise.all(adminAddresses.map(readMetrics))).flat();
   const causes = new Map<string, number>();
   samples
@@ -42,8 +44,7 @@
   return Object.fromEntries(causes);
 }
 
-/** Difference of two readings. */
-export function subtractPrefill(after: PrefillAccount, before: PrefillAccount): PrefillAccount {
+export function subtractPrefillTotals(after: PrefillTotals, before: PrefillTotals): PrefillTotals {
   return {
     prefillTokens: after.prefillTokens - before.prefillTokens,
     wastedTokens: after.wastedTokens - before.wastedTokens,
--- a/packages/bench/src/accounting/processUsage.ts
+++ b/packages/bench/src/accounting/processUsage.ts
@@ -1,5 +1,5 @@
-/** Processor time and memory of a process, by its own metrics. */
-import { readMetrics, sumOf } from './metricsText';
+/** Processor time and memory of a process, read from its metrics. */
+import { readMetrics, sumSamples } from './metricsText';
 
 export interface ProcessUsage {
   cpuSeconds: number;
@@ -9,7 +9,7 @@
 export async function readUsage(adminAddress: string): Promise<ProcessUsage> {
   const samples = await readMetrics(adminAddress);
   return {
-    cpuSeconds: sumOf(samples, 'process_cpu_seconds_total'),
-    residentBytes: sumOf(samples, 'process_resident_memory_bytes'),
+    cpuSeconds: sumSamples(samples, 'process_cpu_seconds_total'),
+    residentBytes: sumSamples(samples, 'process_resident_memory_bytes'),
   };
 }
--- a/packages/bench/src/accounting/quantiles.ts
+++ b/packages/bench/src/accounting/quantiles.ts
@@ -1,4 +1,4 @@
-/** Quantiles of durations by hdr-histogram-js, to a hundredth of a millisecond. */
+/** Quantiles of durations, computed with hdr-histogram-js at a resolution of 0.01 ms. */
 import { build } from 'hdr-histogram-js';
 
 export interface Quantiles {
@@ -10,18 +10,18 @@
 }
 
 const unitsPerMs = 100;
-const longestMs = 600_000;
+const maxTrackableMs = 600_000;
 const significantDigits = 3;
 
-/** Milliseconds in, milliseconds out; all zero where there are no values. */
-export function quantilesOf(valuesMs: Iterable<number>): Quantiles {
+/** Quantiles in milliseconds; all are 0 if there are no values. Values above 600 s count as 600 s. */
+export function computeQuantiles(valuesMs: Iterable<number>): Quantiles {
   const histogram = build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: longestMs * unitsPerMs,
+    highestTrackableValue: maxTrackableMs * unitsPerMs,
     numberOfSignificantValueDigits: significantDigits,
   });
   for (const valueMs of valuesMs) {
-    histogram.recordValue(Math.round(Math.min(Math.max(valueMs, 0), longestMs) * unitsPerMs));
+    histogram.recordValue(Math.round(Math.min(Math.max(valueMs, 0), maxTrackableMs) * unitsPerMs));
   }
   const at = (percentile: number) => histogram.getValueAtPercentile(percentile) / unitsPerMs;
   return {
@@ -33,8 +33,8 @@
   };
 }
 
-/** Median of a few figures, such as those of five seeds. */
-export function medianOf(values: readonly number[]): number {
+/** Median of a few values, such as the results of five seeds. */
+export function computeMedian(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   const middle = Math.floor(sorted.length / 2);
   const upper = sorted[middle] ?? 0;
--- a/packages/bench/src/bin.ts
+++ b/packages/bench/src/bin.ts
@@ -1,11 +1,11 @@
-/** `bluebell-bench`: load generator and experiments over the real binaries and the stand-ins. */
+/** `bluebell-bench`: load generator and experiments that run the real binaries with stand-ins. */
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { exitCodes, formatFindings } from '@bluebellhitch/shared';
 import { parseCommandLine } from './commandLine';
 import { runCommand } from './runCommand';
 
-// This file runs as dist/bluebell-bench.js, beside the binaries that it starts.
+// This file runs as dist/bluebell-bench.js, in the directory of the binaries that it starts.
 const binaryDirectory = dirname(fileURLToPath(import.meta.url));
 const repositoryRoot = join(binaryDirectory, '..');
 
@@ -31,7 +31,7 @@
   return exitCodes.ok;
 }
 
-// Leaves with the children's pipes: an exit at any point ends every process that was started.
+// Exiting closes the children's pipes, which ends every process that was started.
 try {
   process.exit(await main());
 } catch (error) {
--- a/packages/bench/src/commandLine.ts
+++ b/packages/bench/src/commandLine.ts
@@ -1,4 +1,4 @@
-/** Command line of `bluebell-bench`: a command and its flags, all findings reported together. */
+/** Parses the command line of `bluebell-bench`: a command and its flags. Reports all findings together. */
 import meow from 'meow';
 import { err, ok, type Result } from 'neverthrow';
 import * as z from 'zod';
@@ -17,13 +17,13 @@
 } as const;
 export type CommandName = (typeof commandNames)[keyof typeof commandNames];
 
-const parts = z
+const listItems = z
   .string()
   .transform((text) => text.split(',').filter((part) => part !== ''))
   .pipe(z.array(z.string()).min(1));
 const listOf = <Value>(item: z.ZodType<Value>) =>
-  parts.pipe(z.array(item as z.ZodType<Value, string>));
-const positive = z.coerce.number().positive();
+  listItems.pipe(z.array(item as z.ZodType<Value, string>));
+const positiveNumber = z.coerce.number().positive();
 const count = z.coerce.number().int().positive();
 
 const flagSchemas = {
@@ -36,8 +36,8 @@
   faults: listOf(z.enum(['none', 'worker-killed', 'link-stalled', 'platform-down'])),
   seeds: listOf(z.coerce.number().int()),
   policies: listOf(z.enum(['default', 'random', 'least-loaded', 'prefill-first'])),
-  seconds: positive,
-  timeScale: positive,
+  seconds: positiveNumber,
+  timeScale: positiveNumber,
   entries: count,
   what: listOf(z.string()),
   journal: z.string(),
@@ -79,31 +79,31 @@
 export const helpText = `Usage: npm run bench -- <command> [flags]
 
 Commands
-  overhead   what entry and agent add to an answer, against the engine alone
+  overhead   overhead of entry and agent compared with calling the engine directly
   goodput    goodput and wasted prefill by load, fault and policy
-  ceiling    streams and tokens a second that this tool and machine can take
-  capacity   slopes behind docs/CAPACITY.md
-  replay     how callers fare under patterns of load, in virtual time
-  quota      ways to keep a quota at all routers together, in virtual time
+  ceiling    streams and tokens per second that this tool and machine can handle
+  capacity   how costs grow with size, for docs/CAPACITY.md
+  replay     outcomes for callers under load patterns, in virtual time
+  quota      strategies to keep a quota across all routers, in virtual time
   report     charts of worth by day and round from the journal, as one HTML page
 
 Flags (lists are separated by commas)
-  --json <file>              write the figures as JSON as well; - writes them in place of the table
-  --levels <list>            overhead, ceiling: streams at once [${defaultTexts.levels}]
+  --json <file>              also write the figures as JSON; - prints them instead of the table
+  --levels <list>            overhead, ceiling: concurrent streams [${defaultTexts.levels}]
   --repeats <n>              overhead: batches of each kind [${defaultTexts.repeats}]
   --prompt-tokens <n>        overhead: length of prompts [${defaultTexts.promptTokens}]
   --institutions <list>      goodput: [${defaultTexts.institutions}]
-  --loads <list>             goodput: percent of capacity; 0 leaves them out [${defaultTexts.loads}]
-  --faults <list>            goodput: at 100%; none leaves them out
+  --loads <list>             goodput: percent of capacity; 0 skips them [${defaultTexts.loads}]
+  --faults <list>            goodput: faults at 100% load; none skips them
                              [${defaultTexts.faults}]
   --seeds <list>             goodput, replay, quota: [${defaultTexts.seeds}]
   --policies <list>          goodput: default, random, least-loaded, prefill-first [${defaultTexts.policies}]
-  --seconds <n>              goodput: measured part of a cell [${defaultTexts.seconds}]
-  --time-scale <factor>      goodput: stretches all times and targets [${defaultTexts.timeScale}]
-  --entries <n>              goodput: entries of each policy [${defaultTexts.entries}]
+  --seconds <n>              goodput: length of a cell's measured window [${defaultTexts.seconds}]
+  --time-scale <factor>      goodput: factor for all times and targets [${defaultTexts.timeScale}]
+  --entries <n>              goodput: number of entries per policy [${defaultTexts.entries}]
   --what <list>              capacity: dependencies, feed, idle, messages, metrics, spread, streams
   --patterns <list>          replay: files of packages/replay/patterns [${defaultTexts.patterns}]
-  --without <list>           replay: mechanisms to do without, of
+  --without <list>           replay: mechanisms to leave out, any of
                              ${Object.values(mechanisms).join(', ')}
   --journal <directory>      report: [${defaultTexts.journal}]
   --out <file>               report: [${defaultTexts.out}]
--- a/packages/bench/src/experiments/capacity.ts
+++ b/packages/bench/src/experiments/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes behind docs/CAPACITY.md, one small experiment each. Every experiment starts its own
- * processes and stand-ins, and measures at three sizes or more.
+ * Runs the capacity experiments, which measure how costs grow with size; docs/CAPACITY.md uses the slopes. Each
+ * experiment measures one kind of cost at several sizes, most of them on processes and stand-ins of their own.
  */
 import { runDependencies } from './capacityDependencies';
 import { runFeed } from './capacityFeed';
@@ -13,7 +13,7 @@
 import type { ExperimentContext, ExperimentReport } from './context';
 import { describeMachine, readMachine } from './machine';
 
-const parts: Record<string, (context: ExperimentContext) => Promise<ExperimentReport>> = {
+const experiments: Record<string, (context: ExperimentContext) => Promise<ExperimentReport>> = {
   dependencies: runDependencies,
   feed: runFeed,
   idle: runIdle,
@@ -25,7 +25,7 @@
 };
 
 export interface CapacityOptions {
-  /** Names of the experiments to run, one after the other. */
+  /** Names of the experiments to run, in this order. */
   what: readonly string[];
 }
 
@@ -35,9 +35,11 @@
 ): Promise<ExperimentReport> {
   const reports: [string, ExperimentReport][] = [];
   for (const name of what) {
-    const run = parts[name];
+    const run = experiments[name];
     if (run === undefined) {
-      throw new Error(`no capacity experiment ${name}; there are ${Object.keys(parts).join(', ')}`);
+      throw new Error(
+        `unknown capacity experiment ${name}; must be one of ${Object.keys(experiments).join(', ')}`,
+      );
     }
     const before = readMachine();
     const { text, figures } = await run(context);
--- a/packages/bench/src/experiments/capacityDependencies.ts
+++ b/packages/bench/src/experiments/capacityDependencies.ts
@@ -1,9 +1,9 @@
-/** Resident memory and start time of Node.js alone and with each dependency of entries and agents. */
+/** Resident memory and start-up processor time of Node.js alone and with the dependencies of entries and agents. */
 import { execFile } from 'node:child_process';
 import { join } from 'node:path';
 import { promisify } from 'node:util';
 import { renderTable } from '../report/table';
-import { megabytes } from './capacityLab';
+import { formatMegabytes } from './capacityHarness';
 import type { ExperimentContext, ExperimentReport } from './context';
 
 interface DependencyCost {
@@ -36,18 +36,18 @@
   for (const modules of sets) {
     costs.push(await measureImport(context, modules));
   }
-  const [alone] = costs;
+  const [baseline] = costs;
   const rows = costs.map(({ modules, residentBytes, cpuMs }) => [
     modules,
-    megabytes(residentBytes),
-    megabytes(residentBytes - (alone?.residentBytes ?? 0)),
+    formatMegabytes(residentBytes),
+    formatMegabytes(residentBytes - (baseline?.residentBytes ?? 0)),
     cpuMs.toFixed(0),
   ]);
   const headers = ['modules', 'resident MB', 'more than Node.js alone', 'processor ms to start'];
   return { text: renderTable(headers, rows), figures: { costs } };
 }
 
-/** The smallest of a few starts: what others do to the machine only adds. */
+/** Takes the minimum of a few starts: other load on the machine can only add to the cost. */
 async function measureImport(
   { binaryDirectory }: ExperimentContext,
   modules: readonly string[],
--- a/packages/bench/src/experiments/capacityFeed.ts
+++ b/packages/bench/src/experiments/capacityFeed.ts
@@ -1,29 +1,29 @@
 /**
- * What a relay costs by the number of polls that wait at it: at rest, and for each accepted change,
- * which wakes them all. The polls come from this process, by the client that followers use.
+ * Cost of a relay by the number of long polls that wait at it: while idle, and for each accepted change, which
+ * answers them all. This process sends the polls, through the feed client that entries and agents use.
  */
 import { createFeedClient } from '@bluebellhitch/membership';
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
-import { quantilesOf } from '../accounting/quantiles';
+import { computeQuantiles } from '../accounting/quantiles';
 import { registerInstance } from '../fleet/controlCalls';
 import { formatMs, renderTable } from '../report/table';
 import {
   applyDocuments,
-  beginUsage,
-  corePercent,
-  countBytes,
+  startUsageMeter,
+  formatCorePercent,
+  startByteCounter,
   editDocument,
   localDataCentre,
-  megabytes,
+  formatMegabytes,
   serviceName,
   startEntry,
   startPlatform,
   waitForServices,
-  withLab,
+  withHarness,
   type ByteCounter,
-  type Lab,
+  type Harness,
   type UsageOverTime,
-} from './capacityLab';
+} from './capacityHarness';
 import type { ExperimentContext, ExperimentReport } from './context';
 
 interface FeedResult {
@@ -33,56 +33,56 @@
   cpuMsAChange: number;
   bytesAPollAndChange: number;
   changes: number;
-  /** From the edit to the last of the polls that were answered. */
+  /** From each edit to the last response, for edits that all polls received. */
   lastAnswerMs: number[];
 }
 
 interface Pollers {
-  answeredAt: Map<string, number[]>;
+  answeredAtMs: Map<string, number[]>;
   stop(): Promise<void>;
 }
 
 const pollCounts = [20, 60, 180];
 const documentCount = 27;
 const changeCount = 10;
-const changePauseMs = 1000;
-const restMs = 20_000;
-/** Followers wait 25 s; a shorter wait gives each poll an end inside the window. */
+const changeIntervalMs = 1000;
+const idleMs = 20_000;
+/** Entries and agents poll for 25 s; with a shorter wait each poll ends within the measured window. */
 const pollWaitMs = 10_000;
-/** Below the drain bound of the document, which would otherwise be rejected. */
-const firstTimeoutMs = 11_000;
-/** By then all polls have a position and wait. */
+/** Below the document's drain bound of 15 s; otherwise the document would be rejected. */
+const firstRequestTimeoutMs = 11_000;
+/** After this time all polls have a cursor and wait for changes. */
 const warmUpMs = 11_000;
-const pollPauseMs = 50;
+const pollDelayMs = 50;
 
 export async function runFeed(context: ExperimentContext): Promise<ExperimentReport> {
   const results = await Promise.all(
-    pollCounts.map((polls) => withLab(context, (lab) => measureRelay(lab, polls))),
+    pollCounts.map((polls) => withHarness(context, (harness) => measureRelay(harness, polls))),
   );
   const headers = ['waiting polls', 'resident MB', 'core % at rest', 'bytes a poll at rest'];
-  const more = [
+  const moreHeaders = [
     'ms of processor a change',
     'bytes a poll and change',
     'edit to last answer p50 / p95 ms',
   ];
   const rows = results.map((result) => {
-    const { p50, p95 } = quantilesOf(result.lastAnswerMs);
+    const { p50, p95 } = computeQuantiles(result.lastAnswerMs);
     return [
       String(result.polls),
-      megabytes(result.rest.residentBytes),
-      corePercent(result.rest),
+      formatMegabytes(result.rest.residentBytes),
+      formatCorePercent(result.rest),
       result.bytesAPollAtRest.toFixed(0),
       result.cpuMsAChange.toFixed(1),
       result.bytesAPollAndChange.toFixed(0),
       `${formatMs(p50)} / ${formatMs(p95)}`,
     ];
   });
-  return { text: renderTable([...headers, ...more], rows), figures: { results } };
+  return { text: renderTable([...headers, ...moreHeaders], rows), figures: { results } };
 }
 
-async function measureRelay(lab: Lab, polls: number): Promise<FeedResult> {
-  const platformUrl = await startPlatform(lab);
-  const entry = await startEntry(lab, 'relay', platformUrl);
+async function measureRelay(harness: Harness, polls: number): Promise<FeedResult> {
+  const platformUrl = await startPlatform(harness);
+  const entry = await startEntry(harness, 'relay', platformUrl);
   const { adminAddress = '', innerAddress = '' } = entry.addresses;
   await registerInstance(platformUrl, 'relay', {
     kind: 'entry',
@@ -91,10 +91,10 @@
   });
   await applyDocuments(platformUrl, documentCount);
   await waitForServices(adminAddress, documentCount);
-  const counter = await countBytes(innerAddress);
+  const counter = await startByteCounter(innerAddress);
   const pollers = startPollers(counter.address, polls);
   await delay(warmUpMs);
-  const rest = await measureRest(adminAddress, counter, polls);
+  const rest = await measureIdle(adminAddress, counter, polls);
   const changed = await measureChanges(platformUrl, adminAddress, counter, pollers, polls, rest);
   await pollers.stop();
   counter.close();
@@ -104,8 +104,8 @@
 function startPollers(address: string, count: number): Pollers {
   const stop = new AbortController();
   const callFeed = createFeedClient();
-  const answeredAt = new Map<string, number[]>();
-  async function follow(): Promise<void> {
+  const answeredAtMs = new Map<string, number[]>();
+  async function runPollLoop(): Promise<void> {
     let cursor: string | undefined;
     while (!stop.signal.aborted) {
       const reply = await callFeed(address, { cursor, waitMs: pollWaitMs }, stop.signal);
@@ -113,27 +113,27 @@
         cursor = reply.value.cursor;
         reply.value.records.forEach(({ key, generation }) => {
           const name = `${key}@${generation}`;
-          answeredAt.set(name, [...(answeredAt.get(name) ?? []), monotonicNowMs()]);
+          answeredAtMs.set(name, [...(answeredAtMs.get(name) ?? []), monotonicNowMs()]);
         });
       }
-      await delay(pollPauseMs, stop.signal);
+      await delay(pollDelayMs, stop.signal);
     }
   }
-  const followers = Promise.all(Array.from({ length: count }, follow));
+  const pollLoops = Promise.all(Array.from({ length: count }, runPollLoop));
   return {
-    answeredAt,
+    answeredAtMs,
     async stop() {
       stop.abort();
-      await followers;
+      await pollLoops;
     },
   };
 }
 
-async function measureRest(adminAddress: string, counter: ByteCounter, polls: number) {
+async function measureIdle(adminAddress: string, counter: ByteCounter, polls: number) {
   const before = totalBytes(counter);
-  const endUsage = await beginUsage(adminAddress);
-  await delay(restMs);
-  const rest = await endUsage();
+  const stopUsageMeter = await startUsageMeter(adminAddress);
+  await delay(idleMs);
+  const rest = await stopUsageMeter();
   const pollsEnded = polls * (rest.seconds / (pollWaitMs / 1000));
   return { rest, bytesAPollAtRest: (totalBytes(counter) - before) / pollsEnded };
 }
@@ -147,21 +147,21 @@
   { rest }: { rest: UsageOverTime },
 ) {
   const before = totalBytes(counter);
-  const endUsage = await beginUsage(adminAddress);
+  const stopUsageMeter = await startUsageMeter(adminAddress);
   const editedAtMs: number[] = [];
   for (let change = 0; change < changeCount; change += 1) {
     editedAtMs.push(monotonicNowMs());
-    await editDocument(platformUrl, serviceName(change), firstTimeoutMs + change);
-    await delay(changePauseMs);
+    await editDocument(platformUrl, serviceName(change), firstRequestTimeoutMs + change);
+    await delay(changeIntervalMs);
   }
-  const usage = await endUsage();
-  const restCpu = (rest.cpuSeconds / rest.seconds) * usage.seconds;
+  const usage = await stopUsageMeter();
+  const idleCpuSeconds = (rest.cpuSeconds / rest.seconds) * usage.seconds;
   const lastAnswerMs = editedAtMs.flatMap((atMs, change) => {
-    const answers = pollers.answeredAt.get(`${serviceName(change)}@2`) ?? [];
-    return answers.length === polls ? [Math.max(...answers) - atMs] : [];
+    const responseTimesMs = pollers.answeredAtMs.get(`${serviceName(change)}@2`) ?? [];
+    return responseTimesMs.length === polls ? [Math.max(...responseTimesMs) - atMs] : [];
   });
   return {
-    cpuMsAChange: ((usage.cpuSeconds - restCpu) * 1000) / changeCount,
+    cpuMsAChange: ((usage.cpuSeconds - idleCpuSeconds) * 1000) / changeCount,
     bytesAPollAndChange: (totalBytes(counter) - before) / (changeCount * polls),
     changes: lastAnswerMs.length,
     lastAnswerMs,
--- a/packages/bench/src/experiments/capacityLab.ts
+++ b/packages/bench/src/experiments/capacityHarness.ts
@@ -1,6 +1,6 @@
 /**
- * What the capacity experiments share: a stand-in platform without rate limits, lists of instances
- * and documents of a given size, counted bytes, and the usage of a process over a time.
+ * Test harness of the capacity experiments: a platform stand-in without rate limits, instance lists and documents
+ * of a given size, byte counters, and the resource usage of a process over a period.
  */
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
@@ -11,18 +11,18 @@
 import type { ExperimentContext } from './context';
 
 export const host = '127.0.0.1';
-/** Where the processes that are measured run; listed instances that do not run are elsewhere. */
+/** Data centre of the measured processes; fake instances are listed in the others. */
 export const localDataCentre = 'tacoma-hall';
 const remoteDataCentres = ['salem-hall', 'spokane-hall', 'sohar-hall'];
 
 const bytesPerMegabyte = 1024 * 1024;
-const readyBoundMs = 90_000;
-const pollMs = 100;
-const registrationsAtOnce = 40;
+const readyTimeoutMs = 90_000;
+const pollIntervalMs = 100;
+const batchSize = 40;
 const msPerSecond = 1000;
 
-/** Processes of one measurement, stopped in reverse order. */
-export interface Lab {
+/** The processes of one measurement; the one that was started first is stopped last. */
+export interface Harness {
   start(
     name: string,
     binary: string,
@@ -31,7 +31,7 @@
   stop(): Promise<void>;
 }
 
-export function createLab(context: ExperimentContext): Lab {
+export function createHarness(context: ExperimentContext): Harness {
   const running: RunningBinary[] = [];
   return {
     async start(name, binary, settings) {
@@ -40,7 +40,7 @@
       return process;
     },
     async stop() {
-      // Entries and agents before what they depend on; those of one kind at the same time.
+      // The platform starts first and stops last, because the other processes call it while they stop.
       const [first, ...others] = running;
       await Promise.all(others.map((process) => process.stop()));
       await first?.stop();
@@ -48,22 +48,22 @@
   };
 }
 
-/** Runs a measurement with its own processes and ends them whatever happens. */
-export async function withLab<Value>(
+/** Runs a measurement with processes of its own and stops them afterwards, also on failure. */
+export async function withHarness<Value>(
   context: ExperimentContext,
-  measure: (lab: Lab) => Promise<Value>,
+  measure: (harness: Harness) => Promise<Value>,
 ): Promise<Value> {
-  const lab = createLab(context);
+  const harness = createHarness(context);
   try {
-    return await measure(lab);
+    return await measure(harness);
   } finally {
-    await lab.stop();
+    await harness.stop();
   }
 }
 
-/** Without limits, so that filling it does not take the measured time. */
-export async function startPlatform(lab: Lab): Promise<string> {
-  const platform = await lab.start('platform', 'standin-platform', {
+/** Starts a platform stand-in; its rate limits are high enough not to slow down the set-up. */
+export async function startPlatform(harness: Harness): Promise<string> {
+  const platform = await harness.start('platform', 'standin-platform', {
     host,
     instanceLagMs: 0,
     writesPerSecond: 1_000_000,
@@ -73,16 +73,16 @@
 }
 
 export function startEntry(
-  lab: Lab,
+  harness: Harness,
   instanceId: string,
   platformUrl: string,
 ): Promise<RunningBinary> {
   const ports = { entryPort: 0, innerPort: 0, adminPort: 0 };
   const settings = { ...ports, instanceId, dataCentre: localDataCentre, platformUrl };
-  return lab.start(instanceId, 'bluebell-entry', settings);
+  return harness.start(instanceId, 'bluebell-entry', settings);
 }
 
-/** A plain document with the usual number of fields; about 500 bytes. */
+/** Document of a plain service with a typical number of fields, about 500 bytes. */
 export function plainDocument(service: string, requestTimeoutMs = 10_000): string {
   return [
     'apiVersion: bluebellhitch/v1',
@@ -111,10 +111,10 @@
 
 export async function applyDocuments(platformUrl: string, count: number): Promise<void> {
   const names = Array.from({ length: count }, (_, index) => serviceName(index));
-  await inBatches(names, (name) => applyDocument(platformUrl, name, plainDocument(name)));
+  await runInBatches(names, (name) => applyDocument(platformUrl, name, plainDocument(name)));
 }
 
-/** Edits a document that `applyDocuments` stored. */
+/** Stores a new version of a document that `applyDocuments` created. */
 export async function editDocument(
   platformUrl: string,
   service: string,
@@ -126,10 +126,10 @@
   await sendJson('PUT', `${url}?version=${version}`, { value });
 }
 
-/** Lists instances that do not run: a third are entries, the others agents of 27 services. */
-export async function listInstances(platformUrl: string, count: number): Promise<void> {
+/** Adds instances without processes to the list: a third are entries, the others agents of 27 services. */
+export async function registerFakeInstances(platformUrl: string, count: number): Promise<void> {
   const indexes = Array.from({ length: count }, (_, index) => index);
-  await inBatches(indexes, (index) => {
+  await runInBatches(indexes, (index) => {
     const isEntry = index % 3 === 0;
     const dataCentre = remoteDataCentres[index % remoteDataCentres.length] ?? localDataCentre;
     const innerAddress = `http://${host}:9`;
@@ -149,64 +149,67 @@
   });
 }
 
-async function inBatches<Item>(
+async function runInBatches<Item>(
   items: readonly Item[],
   run: (item: Item) => Promise<void>,
 ): Promise<void> {
-  for (let start = 0; start < items.length; start += registrationsAtOnce) {
-    await Promise.all(items.slice(start, start + registrationsAtOnce).map(run));
+  for (let start = 0; start < items.length; start += batchSize) {
+    await Promise.all(items.slice(start, start + batchSize).map(run));
   }
 }
 
-/** Resolves once an entry applies `count` accepted documents. */
+/** Resolves once `count` accepted documents are active in an entry. */
 export function waitForServices(adminAddress: string, count: number): Promise<void> {
-  return waitUntil(`no ${count} documents in force`, async () => {
+  return waitUntil(`fewer than ${count} documents are active`, async () => {
     const services = (await readJson(`${adminAddress}/debug/services`)) as unknown[];
     return services.length >= count;
   });
 }
 
-export async function waitUntil(problem: string, isDone: () => Promise<boolean>): Promise<void> {
-  const giveUpAtMs = monotonicNowMs() + readyBoundMs;
+export async function waitUntil(
+  timeoutMessage: string,
+  isDone: () => Promise<boolean>,
+): Promise<void> {
+  const deadlineMs = monotonicNowMs() + readyTimeoutMs;
   while (!(await isDone().catch(() => false))) {
-    if (monotonicNowMs() > giveUpAtMs) {
-      throw new Error(problem);
+    if (monotonicNowMs() > deadlineMs) {
+      throw new Error(timeoutMessage);
     }
-    await delay(pollMs);
+    await delay(pollIntervalMs);
   }
 }
 
-/** Bytes of TCP payload, headers of HTTP included, through one forwarding port. */
+/** TCP proxy that counts payload bytes, HTTP headers included. */
 export interface ByteCounter {
-  /** `http://ip:port` to use in place of the target. */
+  /** `http://ip:port` of the proxy, to use in place of the target's address. */
   address: string;
-  /** Toward the target and back. */
+  /** Bytes sent to the target and received from it. */
   totals(): { sent: number; received: number };
   close(): void;
 }
 
-export async function countBytes(targetAddress: string): Promise<ByteCounter> {
+export async function startByteCounter(targetAddress: string): Promise<ByteCounter> {
   const target = new URL(targetAddress);
   const totals = { sent: 0, received: 0 };
   const sockets = new Set<Socket>();
-  const server = createServer((near) => {
-    const far = connect(Number(target.port), target.hostname);
-    [near, far].forEach((socket) => {
+  const server = createServer((client) => {
+    const upstream = connect(Number(target.port), target.hostname);
+    [client, upstream].forEach((socket) => {
       sockets.add(socket);
       socket.on('error', () => undefined);
       socket.once('close', () => {
         sockets.delete(socket);
-        near.destroy();
-        far.destroy();
+        client.destroy();
+        upstream.destroy();
       });
     });
-    near.on('data', (chunk: Buffer) => {
+    client.on('data', (chunk: Buffer) => {
       totals.sent += chunk.length;
     });
-    far.on('data', (chunk: Buffer) => {
+    upstream.on('data', (chunk: Buffer) => {
       totals.received += chunk.length;
     });
-    near.pipe(far).pipe(near);
+    client.pipe(upstream).pipe(client);
   });
   server.listen(0, host);
   await once(server, 'listening');
@@ -220,28 +223,28 @@
   };
 }
 
-/** Calls that the platform took, by verb. */
-export async function readCalls(platformUrl: string): Promise<Record<string, number>> {
+/** Number of calls that the platform received, by operation. */
+export async function readCallCounts(platformUrl: string): Promise<Record<string, number>> {
   const { calls } = (await readJson(`${platformUrl}/control/stats`)) as {
     calls: Record<string, number>;
   };
   return calls;
 }
 
-export function resetCalls(platformUrl: string): Promise<void> {
+export function resetCallCounts(platformUrl: string): Promise<void> {
   return sendJson('POST', `${platformUrl}/control/stats/reset`, {});
 }
 
-/** Usage of a process between two looks. */
+/** Resource usage of a process between two readings. */
 export interface UsageOverTime {
   seconds: number;
   cpuSeconds: number;
-  /** At the second look; without a forced garbage collection. */
+  /** At the second reading, without a forced garbage collection. */
   residentBytes: number;
 }
 
-/** Reads the usage now; the returned function reads it again and answers the difference. */
-export async function beginUsage(adminAddress: string): Promise<() => Promise<UsageOverTime>> {
+/** Reads the usage now; the returned function reads it again and resolves with the difference. */
+export async function startUsageMeter(adminAddress: string): Promise<() => Promise<UsageOverTime>> {
   const before: ProcessUsage = await readUsage(adminAddress);
   const startedAtMs = monotonicNowMs();
   return async () => {
@@ -254,11 +257,11 @@
   };
 }
 
-export function megabytes(bytes: number): string {
+export function formatMegabytes(bytes: number): string {
   return (bytes / bytesPerMegabyte).toFixed(1);
 }
 
 /** Share of one core, in percent. */
-export function corePercent({ cpuSeconds, seconds }: UsageOverTime): string {
+export function formatCorePercent({ cpuSeconds, seconds }: UsageOverTime): string {
   return ((cpuSeconds / seconds) * 100).toFixed(2);
 }
--- a/packages/bench/src/experiments/capacityIdle.ts
+++ b/packages/bench/src/experiments/capacityIdle.ts
@@ -1,31 +1,31 @@
 /**
- * What an entry and an agent cost without requests: resident memory, processor time, bytes and calls
- * of the platform, by the length of the list of instances and by the number of documents. The entry
- * is relay and acceptor as well, so that its figures hold for all of these.
+ * Cost of an entry and an agent without requests: resident memory, processor time, and bytes and calls to the
+ * platform, by the length of the instance list and the number of documents. The entry is also relay and acceptor,
+ * so its figures include the cost of both duties.
  */
 import { delay } from '@bluebellhitch/shared';
 import { registerInstance } from '../fleet/controlCalls';
 import { renderTable } from '../report/table';
 import {
   applyDocuments,
-  beginUsage,
-  corePercent,
-  countBytes,
+  startUsageMeter,
+  formatCorePercent,
+  startByteCounter,
   host,
-  listInstances,
+  registerFakeInstances,
   localDataCentre,
-  megabytes,
-  readCalls,
-  resetCalls,
+  formatMegabytes,
+  readCallCounts,
+  resetCallCounts,
   serviceName,
   startEntry,
   startPlatform,
   waitForServices,
-  withLab,
+  withHarness,
   type ByteCounter,
-  type Lab,
+  type Harness,
   type UsageOverTime,
-} from './capacityLab';
+} from './capacityHarness';
 import type { ExperimentContext, ExperimentReport } from './context';
 
 interface IdleSize {
@@ -47,21 +47,24 @@
 const instanceSizes = [90, 360, 1080].map((instances) => ({ instances, documents: 27 }));
 const documentSizes = [270, 2700].map((documents) => ({ instances: 90, documents }));
 const settleMs = 12_000;
-/** Agents look at the list every 15 to 45 s, entries every 4 to 6 s. */
+/** Agents read the instance list every 15 to 45 s, entries every 4 to 6 s. */
 const windowMs = 45_000;
 
 export async function runIdle(context: ExperimentContext): Promise<ExperimentReport> {
   const sizes = [...instanceSizes, ...documentSizes];
   const results = await Promise.all(
-    sizes.map((size) => withLab(context, (lab) => measureIdle(lab, size))),
+    sizes.map((size) => withHarness(context, (harness) => measureIdle(harness, size))),
   );
   return { text: renderIdle(results), figures: { results } };
 }
 
-async function measureIdle(lab: Lab, size: IdleSize): Promise<IdleResult> {
-  const platformUrl = await startPlatform(lab);
-  const [entryBytes, agentBytes] = [await countBytes(platformUrl), await countBytes(platformUrl)];
-  const entry = await startEntry(lab, 'entry-measured', entryBytes.address);
+async function measureIdle(harness: Harness, size: IdleSize): Promise<IdleResult> {
+  const platformUrl = await startPlatform(harness);
+  const [entryBytes, agentBytes] = [
+    await startByteCounter(platformUrl),
+    await startByteCounter(platformUrl),
+  ];
+  const entry = await startEntry(harness, 'entry-measured', entryBytes.address);
   await registerInstance(platformUrl, 'entry-measured', {
     kind: 'entry',
     dataCentre: localDataCentre,
@@ -70,15 +73,15 @@
   await applyDocuments(platformUrl, size.documents);
   const entryAdmin = entry.addresses.adminAddress ?? '';
   await waitForServices(entryAdmin, size.documents);
-  await listInstances(platformUrl, size.instances);
-  const agentAdmin = await startAgent(lab, platformUrl, agentBytes.address);
+  await registerFakeInstances(platformUrl, size.instances);
+  const agentAdmin = await startAgent(harness, platformUrl, agentBytes.address);
   await delay(settleMs);
-  await resetCalls(platformUrl);
+  await resetCallCounts(platformUrl);
   const [entryCost, agentCost] = await Promise.all([
     measureProcess(entryAdmin, entryBytes),
     measureProcess(agentAdmin, agentBytes),
   ]);
-  const calls = await readCalls(platformUrl);
+  const calls = await readCallCounts(platformUrl);
   [entryBytes, agentBytes].forEach((counter) => counter.close());
   const callsPerSecond = Object.fromEntries(
     Object.entries(calls).map(([verb, count]) => [verb, count / entryCost.seconds]),
@@ -86,16 +89,20 @@
   return { ...size, entry: entryCost, agent: agentCost, callsPerSecond };
 }
 
-/** An agent of a plain service with the real looks at a backend server that is up. */
-async function startAgent(lab: Lab, platformUrl: string, viaAddress: string): Promise<string> {
-  const server = await lab.start('server', 'standin-plain-service', { host });
-  const agent = await lab.start('agent-measured', 'bluebell-agent', {
+/** Starts an agent of a plain service with a running backend server, so that the agent's polls of it are included. */
+async function startAgent(
+  harness: Harness,
+  platformUrl: string,
+  proxyAddress: string,
+): Promise<string> {
+  const server = await harness.start('server', 'standin-plain-service', { host });
+  const agent = await harness.start('agent-measured', 'bluebell-agent', {
     instanceId: 'agent-measured',
     dataCentre: localDataCentre,
     service: serviceName(0),
     backendKind: 'plain',
     backendUrl: server.addresses.address ?? '',
-    platformUrl: viaAddress,
+    platformUrl: proxyAddress,
   });
   await registerInstance(platformUrl, 'agent-measured', {
     kind: 'agent',
@@ -109,9 +116,9 @@
 
 async function measureProcess(adminAddress: string, counter: ByteCounter): Promise<ProcessCost> {
   const bytesBefore = counter.totals();
-  const endUsage = await beginUsage(adminAddress);
+  const stopUsageMeter = await startUsageMeter(adminAddress);
   await delay(windowMs);
-  const usage = await endUsage();
+  const usage = await stopUsageMeter();
   const bytes = counter.totals();
   return {
     ...usage,
@@ -129,19 +136,19 @@
         name,
         String(result.instances),
         String(result.documents),
-        megabytes(cost.residentBytes),
-        corePercent(cost),
+        formatMegabytes(cost.residentBytes),
+        formatCorePercent(cost),
         cost.sentBytesPerSecond.toFixed(0),
         cost.receivedBytesPerSecond.toFixed(0),
-        name === 'entry' ? describeCalls(result.callsPerSecond) : '',
+        name === 'entry' ? formatCallRates(result.callsPerSecond) : '',
       ];
     }),
   );
-  const more = ['to platform B/s', 'from platform B/s', 'platform calls/s of both'];
-  return renderTable([...headers, ...more], rows);
+  const moreHeaders = ['to platform B/s', 'from platform B/s', 'platform calls/s of both'];
+  return renderTable([...headers, ...moreHeaders], rows);
 }
 
-export function describeCalls(callsPerSecond: Readonly<Record<string, number>>): string {
+export function formatCallRates(callsPerSecond: Readonly<Record<string, number>>): string {
   return Object.entries(callsPerSecond)
     .filter(([, rate]) => rate > 0)
     .map(([verb, rate]) => `${verb} ${rate.toFixed(2)}`)
--- a/packages/bench/src/experiments/capacityMessages.ts
+++ b/packages/bench/src/experiments/capacityMessages.ts
@@ -1,6 +1,6 @@
 /**
- * What one control message costs: bytes of TCP payload, and processor time of the agent and of its
- * caller, who uses the transport of entries. Heartbeats, bids and the questions of order holders.
+ * Cost of one control message: bytes of TCP payload, and processor time of the agent and of its client, which uses
+ * the same transport as entries. Covers heartbeats, bids and the worker state queries of order reconcilers.
  */
 import { createTRPCClient, httpLink, type TRPCClient } from '@trpc/client';
 import { Agent, request } from 'undici';
@@ -14,15 +14,15 @@
 import { renderTable } from '../report/table';
 import {
   applyDocuments,
-  beginUsage,
-  countBytes,
+  startUsageMeter,
+  startByteCounter,
   host,
   localDataCentre,
   serviceName,
   startPlatform,
-  withLab,
-  type Lab,
-} from './capacityLab';
+  withHarness,
+  type Harness,
+} from './capacityHarness';
 import type { ExperimentContext, ExperimentReport } from './context';
 
 type AgentClient = TRPCClient<AgentRouter>;
@@ -38,7 +38,7 @@
 }
 
 const counts = [500, 1000, 2000];
-const callsForBytes = 50;
+const byteSampleCalls = 50;
 const concurrency = 8;
 const usPerSecond = 1e6;
 const promptSizes = [400, 4_000, 16_000];
@@ -59,14 +59,14 @@
   ...Object.fromEntries(
     promptSizes.map((promptTokens): [string, Call] => [
       `bid, ${promptTokens} tokens`,
-      (client) => client.bid.mutate(bidRequest(promptTokens)),
+      (client) => client.bid.mutate(createBidRequest(promptTokens)),
     ]),
   ),
   workerState: (client) => client.workerState.query(),
 };
 
 export async function runMessages(context: ExperimentContext): Promise<ExperimentReport> {
-  const costs = await withLab(context, measureAll);
+  const costs = await withHarness(context, measureAll);
   const rows = costs.map((cost) => [
     cost.message,
     String(cost.count),
@@ -79,11 +79,15 @@
   return { text: renderTable(headers, rows), figures: { costs } };
 }
 
-async function measureAll(lab: Lab): Promise<MessageCost[]> {
-  const platformUrl = await startPlatform(lab);
+async function measureAll(harness: Harness): Promise<MessageCost[]> {
+  const platformUrl = await startPlatform(harness);
   await applyDocuments(platformUrl, 1);
-  const engine = await lab.start('engine', 'standin-engine', { host, role: 'both', models: 'm@1' });
-  const agent = await lab.start('agent', 'bluebell-agent', {
+  const engine = await harness.start('engine', 'standin-engine', {
+    host,
+    role: 'both',
+    models: 'm@1',
+  });
+  const agent = await harness.start('agent', 'bluebell-agent', {
     instanceId: 'agent-measured',
     dataCentre: localDataCentre,
     service: serviceName(0),
@@ -108,13 +112,13 @@
 }
 
 async function measureBytes(innerAddress: string, call: Call) {
-  const counter = await countBytes(innerAddress);
+  const counter = await startByteCounter(innerAddress);
   const { client, close } = createClient(counter.address);
-  await sendCalls(client, call, callsForBytes);
+  await sendCalls(client, call, byteSampleCalls);
   const { sent, received } = counter.totals();
   await close();
   counter.close();
-  return { sentBytes: sent / callsForBytes, receivedBytes: received / callsForBytes };
+  return { sentBytes: sent / byteSampleCalls, receivedBytes: received / byteSampleCalls };
 }
 
 async function measureTime(
@@ -124,11 +128,11 @@
   count: number,
 ): Promise<Pick<MessageCost, 'agentUs' | 'callerUs'>> {
   const { client, close } = createClient(innerAddress);
-  const endUsage = await beginUsage(adminAddress);
+  const stopUsageMeter = await startUsageMeter(adminAddress);
   const ownBefore = process.cpuUsage();
   await sendCalls(client, call, count);
   const own = process.cpuUsage(ownBefore);
-  const { cpuSeconds } = await endUsage();
+  const { cpuSeconds } = await stopUsageMeter();
   await close();
   return {
     agentUs: (cpuSeconds * usPerSecond) / count,
@@ -137,12 +141,12 @@
 }
 
 async function sendCalls(client: AgentClient, call: Call, count: number): Promise<void> {
-  const lanes = Array.from({ length: concurrency }, async (_, lane) => {
-    for (let index = lane; index < count; index += concurrency) {
+  const workers = Array.from({ length: concurrency }, async (_, worker) => {
+    for (let index = worker; index < count; index += concurrency) {
       await call(client, index);
     }
   });
-  await Promise.all(lanes);
+  await Promise.all(workers);
 }
 
 function createClient(address: string): { client: AgentClient; close(): Promise<void> } {
@@ -153,7 +157,7 @@
   return { client, close: () => dispatcher.destroy() };
 }
 
-/** As entries do it: undici's plain request in place of its `fetch`. */
+/** Uses undici's `request` in place of `fetch`, as entries do. */
 function createFetch(dispatcher: Agent) {
   return async (input: unknown, init?: unknown) => {
     const { method = 'GET', headers, body } = (init ?? {}) as RequestInit;
@@ -168,7 +172,7 @@
   };
 }
 
-function bidRequest(promptTokens: number) {
+function createBidRequest(promptTokens: number) {
   return {
     service: serviceName(0),
     promptTokens,
--- a/packages/bench/src/experiments/capacityMetrics.ts
+++ b/packages/bench/src/experiments/capacityMetrics.ts
@@ -1,4 +1,4 @@
-/** Series and rendering time of an entry's metrics by services and classes; workspaces are no label. */
+/** Series and rendering time of an entry's metrics by services and classes; workspaces are not a label. */
 import { createEntryMetrics, requestPhases, type EntryMetrics } from '@bluebellhitch/telemetry';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import { renderTable } from '../report/table';
@@ -7,7 +7,7 @@
 interface MetricsResult {
   services: number;
   classes: number;
-  /** Class names that callers sent and no document has, one for each workspace. */
+  /** Class names sent by callers that no document defines, one per workspace. */
   unknownClasses: number;
   series: number;
   renderedBytes: number;
@@ -56,10 +56,10 @@
     const service = `service-${index}`;
     const institution = `institution-${index % 2}`;
     metrics.describeService({ service, institution, classNames });
-    classNames.forEach((className) => fill(metrics, { service, institution, className }));
+    classNames.forEach((className) => recordSamples(metrics, { service, institution, className }));
   });
   unknown.forEach((className) =>
-    fill(metrics, { service: 'service-0', institution: 'institution-0', className }),
+    recordSamples(metrics, { service: 'service-0', institution: 'institution-0', className }),
   );
   await metrics.render();
   const startedAtMs = monotonicNowMs();
@@ -69,7 +69,10 @@
   return { series: lines.length, renderedBytes: text.length, renderMs };
 }
 
-function fill(metrics: EntryMetrics, labels: Parameters<EntryMetrics['countGoodput']>[0]): void {
+function recordSamples(
+  metrics: EntryMetrics,
+  labels: Parameters<EntryMetrics['countGoodput']>[0],
+): void {
   Object.values(requestPhases).forEach((phase) => metrics.observePhase(phase, labels, 100));
   metrics.countRequest(labels, 'completed');
   metrics.countGoodput(labels);
--- a/packages/bench/src/experiments/capacitySpread.ts
+++ b/packages/bench/src/experiments/capacitySpread.ts
@@ -1,142 +1,146 @@
 /**
- * One data centre of real entries, of which three are relays: from an operator's edit until the
- * document is in force in each process, and the calls of the platform at rest.
+ * Time from an operator's edit until the document is active in each entry of one data centre, three of which are
+ * relays, and the calls to the platform while idle.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { once } from 'node:events';
 import { join } from 'node:path';
 import { createInterface } from 'node:readline';
 import { delay } from '@bluebellhitch/shared';
-import { quantilesOf, type Quantiles } from '../accounting/quantiles';
+import { computeQuantiles, type Quantiles } from '../accounting/quantiles';
 import { registerInstance } from '../fleet/controlCalls';
 import { formatMs, renderTable } from '../report/table';
-import { describeCalls } from './capacityIdle';
+import { formatCallRates } from './capacityIdle';
 import {
   applyDocuments,
   editDocument,
   localDataCentre,
-  readCalls,
-  resetCalls,
+  readCallCounts,
+  resetCallCounts,
   serviceName,
   startPlatform,
   waitUntil,
-  withLab,
-  type Lab,
-} from './capacityLab';
+  withHarness,
+  type Harness,
+} from './capacityHarness';
 import type { ExperimentContext, ExperimentReport } from './context';
 
-interface Follower {
+interface EntryProcess {
   child: ChildProcess;
   innerAddress: string;
-  /** When each service's generation came into force, by the process's own log. */
-  inForceAtMs: Map<string, number>;
+  /** When each generation of a service's document became active, from the log of the process. */
+  activeAtMs: Map<string, number>;
 }
 
 interface SpreadResult {
   processes: number;
   changes: number;
-  /** From the edit to each process. */
+  /** From the edit until the document is active in each process. */
   eachMs: Quantiles;
-  /** From the edit to the last process. */
+  /** From the edit until the document is active in the last process. */
   lastMs: Quantiles;
   callsPerSecond: Record<string, number>;
 }
 
 const processCounts = [10, 30, 60];
-const startedAtOnce = 15;
+const startConcurrency = 15;
 const documentCount = 27;
 const changeCount = 20;
-const changePauseMs = 300;
-/** Below the drain bound of the document, which would otherwise be rejected. */
-const firstTimeoutMs = 11_000;
+const changeIntervalMs = 300;
+/** Below the document's drain bound of 15 s; otherwise the document would be rejected. */
+const firstRequestTimeoutMs = 11_000;
 const settleMs = 7_000;
-const restMs = 6_000;
-const lastChangeMs = 3_000;
+const idleMs = 6_000;
+const finalWaitMs = 3_000;
 
 export async function runSpread(context: ExperimentContext): Promise<ExperimentReport> {
   const results: SpreadResult[] = [];
   for (const processes of processCounts) {
-    const result = await withLab(context, (lab) => measureSpread(context, lab, processes));
+    const result = await withHarness(context, (harness) =>
+      measureSpread(context, harness, processes),
+    );
     context.progress(`${processes} processes: p95 ${formatMs(result.eachMs.p95)} ms`);
     results.push(result);
   }
   const headers = ['processes', 'changes', 'edit to each process p50 / p95 / p99 ms'];
-  const more = ['edit to the last process p50 / p95 / max ms', 'platform calls/s at rest'];
+  const moreHeaders = ['edit to the last process p50 / p95 / max ms', 'platform calls/s at rest'];
   const rows = results.map(({ processes, changes, eachMs, lastMs, callsPerSecond }) => [
     String(processes),
     String(changes),
     [eachMs.p50, eachMs.p95, eachMs.p99].map(formatMs).join(' / '),
     [lastMs.p50, lastMs.p95, lastMs.max].map(formatMs).join(' / '),
-    describeCalls(callsPerSecond),
+    formatCallRates(callsPerSecond),
   ]);
-  return { text: renderTable([...headers, ...more], rows), figures: { results } };
+  return { text: renderTable([...headers, ...moreHeaders], rows), figures: { results } };
 }
 
 async function measureSpread(
   context: ExperimentContext,
-  lab: Lab,
+  harness: Harness,
   processes: number,
 ): Promise<SpreadResult> {
-  const platformUrl = await startPlatform(lab);
-  const followers: Follower[] = [];
+  const platformUrl = await startPlatform(harness);
+  const entries: EntryProcess[] = [];
   try {
-    for (let start = 0; start < processes; start += startedAtOnce) {
+    for (let start = 0; start < processes; start += startConcurrency) {
       const indexes = Array.from(
-        { length: Math.min(startedAtOnce, processes - start) },
+        { length: Math.min(startConcurrency, processes - start) },
         (_, offset) => start + offset,
       );
-      followers.push(
-        ...(await Promise.all(indexes.map((index) => startFollower(context, platformUrl, index)))),
+      entries.push(
+        ...(await Promise.all(
+          indexes.map((index) => startEntryProcess(context, platformUrl, index)),
+        )),
       );
     }
     await applyDocuments(platformUrl, documentCount);
-    await waitUntil('documents are not in force everywhere', () =>
-      Promise.resolve(followers.every(({ inForceAtMs }) => inForceAtMs.size >= documentCount)),
+    await waitUntil('not all documents are active in every entry', () =>
+      Promise.resolve(entries.every(({ activeAtMs }) => activeAtMs.size >= documentCount)),
     );
     context.progress(`${processes} processes have all documents`);
-    const callsPerSecond = await measureRest(platformUrl);
-    return { processes, callsPerSecond, ...(await measureChanges(platformUrl, followers)) };
+    const callsPerSecond = await measureIdleCalls(platformUrl);
+    return { processes, callsPerSecond, ...(await measureChanges(platformUrl, entries)) };
   } finally {
-    await Promise.all(followers.map(({ child }) => endChild(child)));
+    await Promise.all(entries.map(({ child }) => killChild(child)));
   }
 }
 
-async function measureRest(platformUrl: string): Promise<Record<string, number>> {
+async function measureIdleCalls(platformUrl: string): Promise<Record<string, number>> {
   await delay(settleMs);
-  await resetCalls(platformUrl);
-  await delay(restMs);
-  const calls = await readCalls(platformUrl);
+  await resetCallCounts(platformUrl);
+  await delay(idleMs);
+  const calls = await readCallCounts(platformUrl);
   return Object.fromEntries(
-    Object.entries(calls).map(([verb, count]) => [verb, count / (restMs / 1000)]),
+    Object.entries(calls).map(([verb, count]) => [verb, count / (idleMs / 1000)]),
   );
 }
 
-async function measureChanges(platformUrl: string, followers: readonly Follower[]) {
+async function measureChanges(platformUrl: string, entries: readonly EntryProcess[]) {
   const editedAtMs: number[] = [];
   for (let change = 0; change < changeCount; change += 1) {
     editedAtMs.push(Date.now());
-    await editDocument(platformUrl, serviceName(change), firstTimeoutMs + change);
-    await delay(changePauseMs);
+    await editDocument(platformUrl, serviceName(change), firstRequestTimeoutMs + change);
+    await delay(changeIntervalMs);
   }
-  await delay(lastChangeMs);
+  await delay(finalWaitMs);
   const delaysMs = editedAtMs.map((atMs, change) =>
-    followers.map(
-      ({ inForceAtMs }) => (inForceAtMs.get(`${serviceName(change)}@2`) ?? Infinity) - atMs,
+    entries.map(
+      ({ activeAtMs }) => (activeAtMs.get(`${serviceName(change)}@2`) ?? Infinity) - atMs,
     ),
   );
   return {
     changes: changeCount,
-    eachMs: quantilesOf(delaysMs.flat()),
-    lastMs: quantilesOf(delaysMs.map((values) => Math.max(...values))),
+    eachMs: computeQuantiles(delaysMs.flat()),
+    lastMs: computeQuantiles(delaysMs.map((values) => Math.max(...values))),
   };
 }
 
-/** Reads the log, which tells the moment at which a document came into force. */
-async function startFollower(
+/** Starts an entry and reads from its log when each document becomes active. */
+async function startEntryProcess(
   { binaryDirectory }: ExperimentContext,
   platformUrl: string,
   index: number,
-): Promise<Follower> {
+): Promise<EntryProcess> {
   const instanceId = `entry-${index}`;
   const child = spawn(
     process.execPath,
@@ -154,19 +158,19 @@
         BLUEBELL_INSECURE_INNER: 'true',
       },
       stdio: ['pipe', 'pipe', 'ignore'],
-      // Its own process group: a signal to the bench must not stop what it measures.
+      // A process group of its own: a signal to the bench must not stop the measured processes.
       detached: true,
     },
   );
   child.stdin?.on('error', () => undefined);
-  const inForceAtMs = new Map<string, number>();
-  const innerAddress = await readLog(child, inForceAtMs);
+  const activeAtMs = new Map<string, number>();
+  const innerAddress = await readLog(child, activeAtMs);
   await registerInstance(platformUrl, instanceId, {
     kind: 'entry',
     dataCentre: localDataCentre,
     innerAddress,
   });
-  return { child, innerAddress, inForceAtMs };
+  return { child, innerAddress, activeAtMs };
 }
 
 interface LogLine {
@@ -175,12 +179,12 @@
   context: { innerAddress?: string; service?: string; generation?: number };
 }
 
-/** Resolves with the inner address of the `listening` line and goes on reading. */
-function readLog(child: ChildProcess, inForceAtMs: Map<string, number>): Promise<string> {
+/** Resolves with the inner address from the `listening` log line and continues to read. */
+function readLog(child: ChildProcess, activeAtMs: Map<string, number>): Promise<string> {
   return new Promise((resolve, reject) => {
-    child.once('close', (code) => reject(new Error(`an entry ended with code ${code}`)));
+    child.once('close', (code) => reject(new Error(`an entry exited with code ${code}`)));
     if (child.stdout === null) {
-      reject(new Error('no output of the entry'));
+      reject(new Error('the standard output of the entry is not piped'));
       return;
     }
     createInterface({ input: child.stdout }).on('line', (line) => {
@@ -188,14 +192,14 @@
       if (message === 'listening') {
         resolve(context.innerAddress ?? '');
       } else if (message === 'document in force') {
-        inForceAtMs.set(`${context.service}@${context.generation}`, Date.parse(time));
+        activeAtMs.set(`${context.service}@${context.generation}`, Date.parse(time));
       }
     });
   });
 }
 
-/** At once: nothing runs here that a graceful stop would spare. */
-async function endChild(child: ChildProcess): Promise<void> {
+/** Kills without a graceful stop: there are no requests to finish. */
+async function killChild(child: ChildProcess): Promise<void> {
   if (child.exitCode === null && child.signalCode === null) {
     const ended = once(child, 'exit');
     child.kill('SIGKILL');
--- a/packages/bench/src/experiments/capacityStarts.ts
+++ b/packages/bench/src/experiments/capacityStarts.ts
@@ -1,27 +1,27 @@
-/** Calls of the platform that entries and agents make while they start, beside a relay that is up. */
+/** Calls to the platform that entries and agents make while they start, with a relay already running. */
 import { delay } from '@bluebellhitch/shared';
 import { registerInstance } from '../fleet/controlCalls';
 import { renderTable } from '../report/table';
-import { describeCalls } from './capacityIdle';
+import { formatCallRates } from './capacityIdle';
 import {
   applyDocuments,
   host,
   localDataCentre,
-  readCalls,
-  resetCalls,
+  readCallCounts,
+  resetCallCounts,
   serviceName,
   startEntry,
   startPlatform,
   waitForServices,
-  withLab,
-  type Lab,
-} from './capacityLab';
+  withHarness,
+  type Harness,
+} from './capacityHarness';
 import type { ExperimentContext, ExperimentReport } from './context';
 
 interface StartsResult {
   kind: 'entry' | 'agent';
   processes: number;
-  /** Less what the relay that was there before calls meanwhile, as measured before. */
+  /** Without the relay's own calls, which are measured beforehand over the same period. */
   callsAProcess: Record<string, number>;
 }
 
@@ -35,23 +35,23 @@
     (['entry', 'agent'] as const).map((kind) => ({ kind, processes })),
   );
   const results = await Promise.all(
-    cases.map((size) => withLab(context, (lab) => measureStarts(lab, size))),
+    cases.map((size) => withHarness(context, (harness) => measureStarts(harness, size))),
   );
   const rows = results.map(({ kind, processes, callsAProcess }) => [
     kind,
     String(processes),
-    describeCalls(callsAProcess),
+    formatCallRates(callsAProcess),
   ]);
   const headers = ['process', 'started at once', 'calls a process in its first 6 s'];
   return { text: renderTable(headers, rows), figures: { results } };
 }
 
 async function measureStarts(
-  lab: Lab,
+  harness: Harness,
   { kind, processes }: Pick<StartsResult, 'kind' | 'processes'>,
 ): Promise<StartsResult> {
-  const platformUrl = await startPlatform(lab);
-  const relay = await startEntry(lab, 'relay', platformUrl);
+  const platformUrl = await startPlatform(harness);
+  const relay = await startEntry(harness, 'relay', platformUrl);
   const { adminAddress = '', innerAddress = '' } = relay.addresses;
   await registerInstance(platformUrl, 'relay', {
     kind: 'entry',
@@ -64,7 +64,7 @@
   const before = await countCalls(platformUrl, () => delay(windowMs));
   const during = await countCalls(platformUrl, async () => {
     const indexes = Array.from({ length: processes }, (_, index) => index);
-    await Promise.all(indexes.map((index) => startProcess(lab, kind, index, platformUrl)));
+    await Promise.all(indexes.map((index) => startProcess(harness, kind, index, platformUrl)));
     await delay(windowMs);
   });
   const callsAProcess = Object.fromEntries(
@@ -80,22 +80,22 @@
   platformUrl: string,
   run: () => Promise<unknown>,
 ): Promise<Record<string, number>> {
-  await resetCalls(platformUrl);
+  await resetCallCounts(platformUrl);
   await run();
-  return readCalls(platformUrl);
+  return readCallCounts(platformUrl);
 }
 
 async function startProcess(
-  lab: Lab,
+  harness: Harness,
   kind: StartsResult['kind'],
   index: number,
   platformUrl: string,
 ): Promise<void> {
   if (kind === 'entry') {
-    await startEntry(lab, `entry-${index}`, platformUrl);
+    await startEntry(harness, `entry-${index}`, platformUrl);
     return;
   }
-  await lab.start(`agent-${index}`, 'bluebell-agent', {
+  await harness.start(`agent-${index}`, 'bluebell-agent', {
     instanceId: `agent-${index}`,
     dataCentre: localDataCentre,
     service: serviceName(0),
--- a/packages/bench/src/experiments/capacityStreams.ts
+++ b/packages/bench/src/experiments/capacityStreams.ts
@@ -1,19 +1,24 @@
-/** What open streams cost an entry and its agents: memory, processor time and control bytes. */
+/** Cost of open streams for an entry and its agents: memory, processor time and control bytes. */
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
 import type { Agent } from 'undici';
-import { readMetrics, sumOf } from '../accounting/metricsText';
-import { callModel } from '../load/callerStream';
+import { readMetrics, sumSamples } from '../accounting/metricsText';
+import { callModel } from '../load/callerClient';
 import { createDispatcher } from '../load/openLoop';
 import { renderTable } from '../report/table';
-import { beginUsage, corePercent, megabytes, type UsageOverTime } from './capacityLab';
+import {
+  startUsageMeter,
+  formatCorePercent,
+  formatMegabytes,
+  type UsageOverTime,
+} from './capacityHarness';
 import type { ExperimentContext, ExperimentReport } from './context';
-import { promptWithOutput, startOverheadFleet, type OverheadFleet } from './overheadFleet';
+import { findPromptWithOutput, startOverheadFleet, type OverheadFleet } from './overheadFleet';
 
 interface StreamsResult {
   streams: number;
   entry: UsageOverTime;
   agents: UsageOverTime[];
-  /** Payload of heartbeats, both directions, at the entry. */
+  /** Heartbeat payload at the entry, both directions. */
   controlBytesPerSecond: number;
   complete: number;
 }
@@ -21,11 +26,11 @@
 const streamCounts = [0, 50, 100, 200];
 const promptTokens = 200;
 const outputTokens = 300;
-const startSpreadMs = 4_000;
+const rampUpMs = 4_000;
 const settleMs = 4_500;
 const windowMs = 3_000;
-const betweenLevelsMs = 2_000;
-const answerBoundMs = 60_000;
+const levelPauseMs = 2_000;
+const responseTimeoutMs = 60_000;
 
 export async function runStreams(context: ExperimentContext): Promise<ExperimentReport> {
   const fleet = await startOverheadFleet(context);
@@ -34,7 +39,7 @@
   try {
     for (const streams of streamCounts) {
       results.push(await measureLevel(fleet, dispatcher, streams));
-      await delay(betweenLevelsMs);
+      await delay(levelPauseMs);
     }
   } finally {
     await dispatcher.destroy();
@@ -48,20 +53,26 @@
   dispatcher: Agent,
   streams: number,
 ): Promise<StreamsResult> {
-  // One after the other: a burst would be refused, because its prompts queue for prefill.
-  const answers = Array.from({ length: streams }, async (_, index) => {
-    await delay((startSpreadMs * index) / streams);
+  // Staggered: a burst of prompts would queue for prefill, and some requests would be refused.
+  const responses = Array.from({ length: streams }, async (_, index) => {
+    await delay((rampUpMs * index) / streams);
     return openStream(fleet, dispatcher, `${streams} ${index}`);
   });
   await delay(settleMs);
   const bytesBefore = await readControlBytes(fleet.entryAdmin);
   const startedAtMs = monotonicNowMs();
-  const ends = await Promise.all([fleet.entryAdmin, ...fleet.agentAdmins].map(beginUsage));
+  const usageMeters = await Promise.all(
+    [fleet.entryAdmin, ...fleet.agentAdmins].map(startUsageMeter),
+  );
   await delay(windowMs);
-  const [entry, ...agents] = await Promise.all(ends.map((end) => end()));
+  const [entry, ...agents] = await Promise.all(
+    usageMeters.map((stopUsageMeter) => stopUsageMeter()),
+  );
   const bytes = (await readControlBytes(fleet.entryAdmin)) - bytesBefore;
   const seconds = (monotonicNowMs() - startedAtMs) / 1000;
-  const complete = (await Promise.all(answers)).filter(({ end }) => end.kind === 'complete').length;
+  const complete = (await Promise.all(responses)).filter(
+    ({ end }) => end.kind === 'complete',
+  ).length;
   if (entry === undefined) {
     throw new Error('the fleet has no entry');
   }
@@ -70,13 +81,13 @@
 
 function openStream(fleet: OverheadFleet, dispatcher: Agent, label: string) {
   const { service, engineModel, institution, callerAddress } = fleet;
-  const prompt = promptWithOutput(label, engineModel, promptTokens, outputTokens);
+  const prompt = findPromptWithOutput(label, engineModel, promptTokens, outputTokens);
   return callModel({
     dispatcher,
     callerAddress,
     institution,
     keyPrefix: 'capacity',
-    timeoutMs: answerBoundMs,
+    timeoutMs: responseTimeoutMs,
     model: service,
     arrival: {
       kind: 'model',
@@ -93,7 +104,7 @@
 }
 
 async function readControlBytes(adminAddress: string): Promise<number> {
-  return sumOf(await readMetrics(adminAddress), 'bluebell_control_bytes_total');
+  return sumSamples(await readMetrics(adminAddress), 'bluebell_control_bytes_total');
 }
 
 function renderStreams(results: readonly StreamsResult[]): string {
@@ -101,10 +112,10 @@
   const rows = results.map(({ streams, complete, entry, agents, controlBytesPerSecond }) => [
     String(streams),
     String(complete),
-    megabytes(entry.residentBytes),
-    corePercent(entry),
-    agents.map(({ residentBytes }) => megabytes(residentBytes)).join(' / '),
-    agents.map(corePercent).join(' / '),
+    formatMegabytes(entry.residentBytes),
+    formatCorePercent(entry),
+    agents.map(({ residentBytes }) => formatMegabytes(residentBytes)).join(' / '),
+    agents.map(formatCorePercent).join(' / '),
     controlBytesPerSecond.toFixed(0),
   ]);
   return renderTable([...headers, 'heartbeat payload B/s'], rows);
--- a/packages/bench/src/experiments/ceiling.ts
+++ b/packages/bench/src/experiments/ceiling.ts
@@ -1,22 +1,22 @@
 /**
- * How many streams and tokens a second this tool and this machine can take, with nothing between the
- * tool and stand-in engines. Loads of other experiments must stay well below.
+ * Streams and tokens per second that the load generator and this machine can handle when it calls stand-in engines
+ * directly. Loads of other experiments must stay well below.
  */
 import { monitorEventLoopDelay } from 'node:perf_hooks';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { Agent } from 'undici';
-import { quantilesOf, type Quantiles } from '../accounting/quantiles';
+import { computeQuantiles, type Quantiles } from '../accounting/quantiles';
 import { startBinary, type RunningBinary } from '../fleet/childProcess';
-import { streamFromEngine } from '../load/engineStream';
+import { streamFromEngine } from '../load/engineClient';
 import { createDispatcher } from '../load/openLoop';
 import { formatMs, renderTable } from '../report/table';
 import { runClosedLoop } from './closedLoop';
 import type { ExperimentContext, ExperimentReport } from './context';
 import { describeMachine, readMachine } from './machine';
-import { promptWithOutput } from './overheadFleet';
+import { findPromptWithOutput } from './overheadFleet';
 
 export interface CeilingOptions {
-  /** Streams at once. */
+  /** Numbers of concurrent streams to measure. */
   levels: number[];
 }
 
@@ -24,7 +24,7 @@
   streams: number;
   tokensPerSecond: number;
   answersPerSecond: number;
-  /** The engines' step is `stepMs`; what exceeds it is the machine's or the tool's. */
+  /** The decode step of the engines takes `stepMs`; anything above it is caused by the machine or the generator. */
   betweenTokensMs: Quantiles;
   eventLoopDelayP99Ms: number;
 }
@@ -79,26 +79,26 @@
 ): Promise<CeilingLevel> {
   const dispatcher = createDispatcher();
   const loopDelay = monitorEventLoopDelay({ resolution: loopResolutionMs });
-  const spreadMs = outputTokens * stepMs;
+  const rampUpMs = outputTokens * stepMs;
   const startedAtMs = monotonicNowMs();
   loopDelay.enable();
-  const answers = await runClosedLoop({ streamCount, rounds, spreadMs, signal }, (index) =>
-    askEngine(dispatcher, engines, `ceiling ${streamCount} ${index}`, index),
+  const responses = await runClosedLoop({ streamCount, rounds, rampUpMs, signal }, (index) =>
+    requestFromEngine(dispatcher, engines, `ceiling ${streamCount} ${index}`, index),
   );
   loopDelay.disable();
   const seconds = (monotonicNowMs() - startedAtMs) / 1000;
   await dispatcher.destroy();
-  const gapsMs = answers.flatMap((answer) => answer.gapsMs);
+  const gapsMs = responses.flatMap((response) => response.gapsMs);
   return {
     streams: streamCount,
-    tokensPerSecond: (gapsMs.length + answers.length) / seconds,
-    answersPerSecond: answers.length / seconds,
-    betweenTokensMs: quantilesOf(gapsMs),
+    tokensPerSecond: (gapsMs.length + responses.length) / seconds,
+    answersPerSecond: responses.length / seconds,
+    betweenTokensMs: computeQuantiles(gapsMs),
     eventLoopDelayP99Ms: Math.max(0, loopDelay.percentile(99) / 1e6 - loopResolutionMs),
   };
 }
 
-function askEngine(
+function requestFromEngine(
   dispatcher: Agent,
   engines: readonly RunningBinary[],
   label: string,
@@ -108,7 +108,7 @@
     dispatcher,
     address: engines[index % engines.length]?.addresses.address ?? '',
     model,
-    prompt: promptWithOutput(label, model, promptTokens, outputTokens),
+    prompt: findPromptWithOutput(label, model, promptTokens, outputTokens),
     maxOutputTokens: outputTokens,
   });
 }
--- a/packages/bench/src/experiments/closedLoop.ts
+++ b/packages/bench/src/experiments/closedLoop.ts
@@ -1,29 +1,29 @@
-/** Keeps a fixed number of streams running, each followed by the next, with staggered starts. */
+/** Runs requests in a closed loop: a fixed number of concurrent streams with staggered starts. */
 import { delay } from '@bluebellhitch/shared';
 
 export interface ClosedLoopOptions {
-  /** Streams at once. */
+  /** Number of concurrent streams. */
   streamCount: number;
-  /** How many each of them runs, one after the other. */
+  /** Number of requests that each stream runs in sequence. */
   rounds: number;
-  /** The first starts are spread over this time. */
-  spreadMs: number;
+  /** Period over which the first requests of the streams are spread. */
+  rampUpMs: number;
   signal: AbortSignal;
 }
 
-/** `run` gets a number that is unique within the loop. Resolves with all results. */
+/** Calls `run` with an index that is unique within the loop; resolves with all results. */
 export async function runClosedLoop<Result>(
   options: ClosedLoopOptions,
   run: (index: number) => Promise<Result>,
 ): Promise<Result[]> {
-  const { streamCount, rounds, spreadMs, signal } = options;
-  const lanes = Array.from({ length: streamCount }, async (_, lane) => {
-    await delay((spreadMs * lane) / streamCount);
+  const { streamCount, rounds, rampUpMs, signal } = options;
+  const streams = Array.from({ length: streamCount }, async (_, stream) => {
+    await delay((rampUpMs * stream) / streamCount);
     const results: Result[] = [];
     for (let round = 0; round < rounds && !signal.aborted; round += 1) {
-      results.push(await run(lane * rounds + round));
+      results.push(await run(stream * rounds + round));
     }
     return results;
   });
-  return (await Promise.all(lanes)).flat();
+  return (await Promise.all(streams)).flat();
 }
--- a/packages/bench/src/experiments/context.ts
+++ b/packages/bench/src/experiments/context.ts
@@ -1,15 +1,15 @@
-/** What every experiment gets from the command line. */
+/** Input and result types that all experiments share. */
 import type { StartBinaryOptions } from '../fleet/childProcess';
 
 export interface ExperimentContext extends StartBinaryOptions {
   examplesDirectory: string;
-  /** Progress, one line a call. */
+  /** Reports progress, one line per call. */
   progress: (line: string) => void;
-  /** Aborts on Ctrl-C; an experiment then stops its fleet and ends. */
+  /** Aborts on SIGINT and SIGTERM; an experiment then stops its fleet and returns. */
   signal: AbortSignal;
 }
 
-/** What an experiment leaves behind: a table to read and figures to work with. */
+/** Result of an experiment, as a table and as data. */
 export interface ExperimentReport {
   /** Markdown. */
   text: string;
--- a/packages/bench/src/experiments/faults.ts
+++ b/packages/bench/src/experiments/faults.ts
@@ -1,10 +1,10 @@
-/** Faults of the goodput experiment, made and mended at the stand-ins' control endpoints. */
+/** Faults of the goodput experiment, injected and repaired by kills and the stand-ins' control endpoints. */
 import { assertNever } from '@bluebellhitch/shared';
 import {
-  emptyPrefillAccount,
-  readPrefillAccount,
-  type PrefillAccount,
-} from '../accounting/prefillAccount';
+  emptyPrefillTotals,
+  readPrefillTotals,
+  type PrefillTotals,
+} from '../accounting/prefillTotals';
 import { sendJson } from '../fleet/controlCalls';
 import type { Fleet, FleetBackend } from '../fleet/startFleet';
 
@@ -16,19 +16,19 @@
 export type FaultKind = (typeof faultKinds)[keyof typeof faultKinds];
 
 export interface Fault {
-  /** Share of the measured window after which it begins. */
-  beginsAt: number;
-  /** Share of the window after which it ends by itself; absent: with the cell. */
-  endsAt?: number;
+  /** Fraction of the measured window after which the fault begins. */
+  startFraction: number;
+  /** Fraction of the window after which the fault ends; if absent, it lasts until the cell ends. */
+  endFraction?: number;
   begin(): Promise<void>;
   end(): Promise<void>;
-  /** Makes the fleet whole again behind the cell. */
-  mend(): Promise<void>;
-  /** What a worker that died had counted. */
-  lostAccount(): PrefillAccount;
+  /** Restores the fleet after the cell. */
+  repair(): Promise<void>;
+  /** Counters of a killed worker, read just before it was killed. */
+  lostTotals(): PrefillTotals;
 }
 
-const nothing = () => Promise.resolve();
+const noop = () => Promise.resolve();
 
 export function createFault(kind: FaultKind, fleet: Fleet): Fault {
   switch (kind) {
@@ -43,50 +43,50 @@
   }
 }
 
-/** A decode worker and its agent die with all their streams. */
+/** Kills a decode worker and its agent, with all their streams. */
 function killWorker(fleet: Fleet): Fault {
-  const victim = firstBackend(fleet, 'decode');
-  let lost = emptyPrefillAccount;
+  const victim = findBackend(fleet, 'decode');
+  let lost = emptyPrefillTotals;
   return {
-    beginsAt: 0.4,
+    startFraction: 0.4,
     begin: async () => {
-      lost = await readPrefillAccount([victim.address]);
+      lost = await readPrefillTotals([victim.address]);
       victim.kill();
     },
-    end: nothing,
-    mend: () => fleet.replaceBackend(victim.description.id),
-    lostAccount: () => lost,
+    end: noop,
+    repair: () => fleet.replaceBackend(victim.description.id),
+    lostTotals: () => lost,
   };
 }
 
-/** Nothing passes the link of a prefill worker for a while; the worker itself goes on. */
+/** Stalls all transfers from a prefill worker for part of the window; the worker itself keeps running. */
 function stallLink(fleet: Fleet): Fault {
-  const { address } = firstBackend(fleet, 'prefill');
+  const { address } = findBackend(fleet, 'prefill');
   const setStalled = (stallTransfers: boolean) =>
     sendJson('POST', `${address}/control`, { stallTransfers });
   return {
-    beginsAt: 0.3,
-    endsAt: 0.7,
+    startFraction: 0.3,
+    endFraction: 0.7,
     begin: () => setStalled(true),
     end: () => setStalled(false),
-    mend: () => setStalled(false),
-    lostAccount: () => emptyPrefillAccount,
+    repair: () => setStalled(false),
+    lostTotals: () => emptyPrefillTotals,
   };
 }
 
-/** The platform refuses every call. */
+/** Makes the platform refuse every call. */
 function stopPlatform({ platformUrl }: Fleet): Fault {
   const setOutage = (on: boolean) => sendJson('POST', `${platformUrl}/control/outage`, { on });
   return {
-    beginsAt: 0.3,
+    startFraction: 0.3,
     begin: () => setOutage(true),
-    end: nothing,
-    mend: () => setOutage(false),
-    lostAccount: () => emptyPrefillAccount,
+    end: noop,
+    repair: () => setOutage(false),
+    lostTotals: () => emptyPrefillTotals,
   };
 }
 
-function firstBackend(fleet: Fleet, role: string): FleetBackend {
+function findBackend(fleet: Fleet, role: string): FleetBackend {
   const found = fleet.backends().find(({ description }) => description.role === role);
   if (found === undefined) {
     throw new Error(`the fleet has no ${role} worker`);
--- a/packages/bench/src/experiments/goodput.ts
+++ b/packages/bench/src/experiments/goodput.ts
@@ -1,9 +1,9 @@
 /**
- * Goodput and wasted prefill of each policy, by load and fault, for both institutions. Within one
- * fleet the policies take turns, each through entries of its own before the same workers.
+ * Goodput and wasted prefill of each policy, by load and fault, for each institution. The policies are measured in
+ * turn on the same fleet, each through its own entries in front of the same workers.
  */
 import { describeFleet, type InstitutionName } from '../fleet/fleetDescription';
-import type { EngineProfile } from '../fleet/fleetParts';
+import type { EngineProfile } from '../fleet/fleetTypes';
 import { startFleet, type EntryGroup } from '../fleet/startFleet';
 import { renderGoodput } from '../report/goodputReport';
 import { estimateCapacity, type CapacityEstimate } from '../traffic/capacity';
@@ -11,8 +11,8 @@
 import type { ExperimentContext, ExperimentReport } from './context';
 import { runCell, warmUpMs, type CellResult } from './goodputCell';
 import {
-  scenarioName,
-  scenariosOf,
+  formatScenario,
+  listScenarios,
   type GoodputCell,
   type GoodputFigures,
   type GoodputOptions,
@@ -23,10 +23,10 @@
 const requestKvBytes = 361_000_000;
 
 /**
- * Twenty usual requests fill a worker's memory, a full batch takes 15 ms a token, and a usual prefill
- * costs as much as about eighty tokens of a full batch. A step that works off a piece of a prompt
- * besides takes 23 ms at most: within both institutions' targets, so that a prefill on a decode worker
- * costs its streams time, but does not fail them by itself.
+ * Twenty typical requests fill a worker's memory, a full batch takes 15 ms per token, and a typical prefill takes as
+ * long as about eighty tokens of a full batch. A decode step that also computes a chunk of a prompt takes 23 ms at
+ * most, which is within both institutions' targets: a prefill on a decode worker slows its streams down, but does not
+ * by itself make them late.
  */
 export const goodputEngine: EngineProfile = {
   slotCount: 20,
@@ -41,8 +41,8 @@
 };
 
 /**
- * The profile for times stretched by `timeScale`. Its KV cache is stretched instead of its link: agents are
- * told no link rate, and would predict transfers over a slower link too early by this factor.
+ * Engine profile for times scaled by `timeScale`. Scales the KV cache size instead of the link rate: agents do not
+ * learn the link rate, and would predict the end of transfers over a slower link too early by this factor.
  */
 export function stretchedEngine(timeScale: number): EngineProfile {
   return {
@@ -61,7 +61,7 @@
   const cells: GoodputCell[] = [];
   const capacities: GoodputFigures['capacities'] = {};
   for (const institution of options.institutions) {
-    capacities[institution] = await capacityOf(context, institution, options);
+    capacities[institution] = await estimateInstitutionCapacity(context, institution, options);
     for (const [round, seed] of options.seeds.entries()) {
       if (!context.signal.aborted) {
         const capacity = capacities[institution].requestsPerSecond;
@@ -74,7 +74,7 @@
   return { text: renderGoodput(figures), figures };
 }
 
-function describe(
+function describeScaledFleet(
   context: ExperimentContext,
   institution: InstitutionName,
   { timeScale }: GoodputOptions,
@@ -82,12 +82,12 @@
   return describeFleet({ ...context, institution, engine: stretchedEngine(timeScale), timeScale });
 }
 
-async function capacityOf(
+async function estimateInstitutionCapacity(
   context: ExperimentContext,
   institution: InstitutionName,
   options: GoodputOptions,
 ): Promise<CapacityEstimate> {
-  const description = await describe(context, institution, options);
+  const description = await describeScaledFleet(context, institution, options);
   const durationMs = warmUpMs + options.seconds * 1000;
   return estimateCapacity({ description, mix: mixes[institution], durationMs });
 }
@@ -95,34 +95,36 @@
 interface Round {
   institution: InstitutionName;
   seed: number;
-  /** Position of the seed; turns the order of the policies. */
+  /** Index of the seed; rotates the order of the policies. */
   round: number;
-  /** Requests a second. */
+  /** Requests per second. */
   capacity: number;
 }
 
-/** All cells of one seed, on a fleet of their own. */
+/** Runs all cells of one seed on a fleet of their own. */
 async function runRound(
   context: ExperimentContext,
   options: GoodputOptions,
   { institution, seed, round, capacity }: Round,
 ): Promise<GoodputCell[]> {
-  const description = await describe(context, institution, options);
-  const entryGroups = options.policies.map((policy) => entryGroup(policy, options.entryCount));
+  const description = await describeScaledFleet(context, institution, options);
+  const entryGroups = options.policies.map((policy) =>
+    createEntryGroup(policy, options.entryCount),
+  );
   const fleet = await startFleet({ ...context, description, entryGroups });
   const cells: GoodputCell[] = [];
   try {
-    for (const { scenario, policy } of cellsOfRound(options, round)) {
+    for (const { scenario, policy } of listCells(options, round)) {
       if (context.signal.aborted) {
         break;
       }
       const ratePerSecond = (capacity * scenario.loadPercent) / 100;
-      const cellName = [institution, seed, policy, scenarioName(scenario)].join(' ');
+      const cellName = [institution, seed, policy, formatScenario(scenario)].join(' ');
       const { seconds } = options;
       const cell = { fleet, description, policy, seed, ratePerSecond, seconds };
       const result = await runCell({ ...cell, fault: scenario.fault, cellName });
       cells.push({ institution, policy, seed, ratePerSecond, ...scenario, result });
-      context.progress(progressLine(cellName, result));
+      context.progress(formatProgress(cellName, result));
     }
   } finally {
     await fleet.stop();
@@ -130,18 +132,20 @@
   return cells;
 }
 
-function entryGroup(policy: PolicyName, count: number): EntryGroup {
+function createEntryGroup(policy: PolicyName, count: number): EntryGroup {
   return { name: policy, count, settings: { policy } };
 }
 
-function cellsOfRound(options: GoodputOptions, round: number) {
-  const turned = options.policies.map(
+function listCells(options: GoodputOptions, round: number) {
+  const rotated = options.policies.map(
     (_, index) => options.policies[(index + round) % options.policies.length] ?? 'default',
   );
-  return scenariosOf(options).flatMap((scenario) => turned.map((policy) => ({ scenario, policy })));
+  return listScenarios(options).flatMap((scenario) =>
+    rotated.map((policy) => ({ scenario, policy })),
+  );
 }
 
-function progressLine(cellName: string, { goodput, wastedRatio, tool }: CellResult): string {
+function formatProgress(cellName: string, { goodput, wastedRatio, tool }: CellResult): string {
   const { offered, outputTokensPerSecond } = goodput;
   const share = (value: number) => `${(value * 100).toFixed(1)}%`;
   return [
--- a/packages/bench/src/experiments/goodputCell.ts
+++ b/packages/bench/src/experiments/goodputCell.ts
@@ -1,17 +1,17 @@
-/** One cell of the goodput experiment: one trace against one policy at one load, with or without a fault. */
+/** One cell of the goodput experiment: one trace, policy and load, with or without a fault. */
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
-import { accountGoodput, type GoodputAccount } from '../accounting/goodput';
+import { summarizeGoodput, type GoodputSummary } from '../accounting/goodput';
 import {
-  emptyPrefillAccount,
-  readPrefillAccount,
-  readWasteByCause,
-  subtractPrefill,
-  type PrefillAccount,
-} from '../accounting/prefillAccount';
+  emptyPrefillTotals,
+  readPrefillTotals,
+  readWastedPrefillByCause,
+  subtractPrefillTotals,
+  type PrefillTotals,
+} from '../accounting/prefillTotals';
 import { readJson, sendJson } from '../fleet/controlCalls';
 import { engineModelOf, modelDocumentOf, type FleetDescription } from '../fleet/fleetDescription';
 import type { Fleet } from '../fleet/startFleet';
-import { runOpenLoop, type ToolHealth } from '../load/openLoop';
+import { runOpenLoop, type GeneratorHealth } from '../load/openLoop';
 import { createTrace } from '../traffic/trace';
 import { mixes } from '../traffic/mixes';
 import { createFault, type Fault, type FaultKind } from './faults';
@@ -19,11 +19,11 @@
 export interface CellOptions {
   fleet: Fleet;
   description: FleetDescription;
-  /** Group of entries to send to. */
+  /** Entry group that receives the requests. */
   policy: string;
   seed: number;
   ratePerSecond: number;
-  /** Measured part; a warm-up comes before it. */
+  /** Length of the measured window, which follows the warm-up. */
   seconds: number;
   fault?: FaultKind;
   /** Unique among the cells of a fleet. */
@@ -31,33 +31,33 @@
 }
 
 export interface CellResult {
-  goodput: GoodputAccount;
-  prefill: PrefillAccount;
-  /** Wasted over computed prefill tokens, warm-up included. */
+  goodput: GoodputSummary;
+  prefill: PrefillTotals;
+  /** Wasted divided by computed prefill tokens, warm-up included. */
   wastedRatio: number;
-  /** As the entries tell it. */
+  /** Wasted prefill tokens by cause, from the metrics of the entries. */
   wastedByCause: Record<string, number>;
-  tool: ToolHealth;
+  tool: GeneratorHealth;
 }
 
 export const warmUpMs = 3_000;
-const longestAnswerMs = 30_000;
-const drainBoundMs = 10_000;
-const drainPollMs = 100;
+const maxResponseMs = 30_000;
+const drainTimeoutMs = 10_000;
+const drainPollIntervalMs = 100;
 
 export async function runCell(options: CellOptions): Promise<CellResult> {
   const { fleet, fault: faultKind } = options;
   const fault = faultKind === undefined ? undefined : createFault(faultKind, fleet);
   await clearCaches(fleet);
-  const before = await readAccounts(options, undefined);
-  const { answers, tool } = await sendTrace(options, fault);
-  await untilDrained(fleet);
-  const after = await readAccounts(options, fault);
-  await fault?.mend();
-  const prefill = subtractPrefill(after.prefill, before.prefill);
+  const before = await readTotals(options, undefined);
+  const { responses, tool } = await sendTrace(options, fault);
+  await waitUntilDrained(fleet);
+  const after = await readTotals(options, fault);
+  await fault?.repair();
+  const prefill = subtractPrefillTotals(after.prefill, before.prefill);
   return {
-    goodput: accountGoodput(answers, {
-      ...judgeOptions(options.description),
+    goodput: summarizeGoodput(responses, {
+      ...createEvaluateOptions(options.description),
       fromMs: warmUpMs,
       toMs: warmUpMs + options.seconds * 1000,
     }),
@@ -68,7 +68,7 @@
   };
 }
 
-function judgeOptions(description: FleetDescription) {
+function createEvaluateOptions(description: FleetDescription) {
   const document = modelDocumentOf(description);
   return { targets: document.targets, engineModel: engineModelOf(document) };
 }
@@ -85,48 +85,48 @@
   const timers = fault === undefined ? [] : scheduleFault(fault, seconds);
   const result = await runOpenLoop({
     trace,
-    callerAddresses: entriesOf(fleet, policy).map(({ callerAddress }) => callerAddress),
+    callerAddresses: selectEntries(fleet, policy).map(({ callerAddress }) => callerAddress),
     model: document.service,
     institution: description.institution,
     keyPrefix: cellName,
-    timeoutMs: Math.min(document.limits.requestTimeoutMs, longestAnswerMs),
+    timeoutMs: Math.min(document.limits.requestTimeoutMs, maxResponseMs),
   });
   timers.forEach((timer) => clearTimeout(timer));
   return result;
 }
 
-function entriesOf(fleet: Fleet, policy: string) {
+function selectEntries(fleet: Fleet, policy: string) {
   return fleet.entries.filter(({ group }) => group === policy);
 }
 
 function scheduleFault(fault: Fault, seconds: number): NodeJS.Timeout[] {
-  const at = (share: number, action: () => Promise<void>) =>
+  const scheduleAt = (fraction: number, action: () => Promise<void>) =>
     setTimeout(
       () => {
         void action();
       },
-      warmUpMs + share * seconds * 1000,
+      warmUpMs + fraction * seconds * 1000,
     );
-  const { beginsAt, endsAt } = fault;
-  const begin = at(beginsAt, fault.begin);
-  return endsAt === undefined ? [begin] : [begin, at(endsAt, fault.end)];
+  const { startFraction, endFraction } = fault;
+  const begin = scheduleAt(startFraction, fault.begin);
+  return endFraction === undefined ? [begin] : [begin, scheduleAt(endFraction, fault.end)];
 }
 
-async function readAccounts({ fleet, policy }: CellOptions, fault: Fault | undefined) {
-  const lost = fault?.lostAccount() ?? emptyPrefillAccount;
-  // A worker that was killed no longer answers; what it had counted was read before.
+async function readTotals({ fleet, policy }: CellOptions, fault: Fault | undefined) {
+  const lostTotals = fault?.lostTotals() ?? emptyPrefillTotals;
+  // A killed worker does not respond; its counters were read before the kill.
   const readings = await Promise.all(
     engineAddresses(fleet).map((address) =>
-      readPrefillAccount([address]).catch(() => emptyPrefillAccount),
+      readPrefillTotals([address]).catch(() => emptyPrefillTotals),
     ),
   );
-  const prefill = [...readings, lost].reduce((total, reading) => ({
+  const prefill = [...readings, lostTotals].reduce((total, reading) => ({
     prefillTokens: total.prefillTokens + reading.prefillTokens,
     wastedTokens: total.wastedTokens + reading.wastedTokens,
     preemptions: total.preemptions + reading.preemptions,
   }));
-  const admins = entriesOf(fleet, policy).map(({ adminAddress }) => adminAddress);
-  return { prefill, wastedByCause: await readWasteByCause(admins) };
+  const admins = selectEntries(fleet, policy).map(({ adminAddress }) => adminAddress);
+  return { prefill, wastedByCause: await readWastedPrefillByCause(admins) };
 }
 
 function engineAddresses(fleet: Fleet): string[] {
@@ -144,21 +144,21 @@
   );
 }
 
-/** Waits until no engine holds memory: what is left then was lost, and the next cell starts clean. */
-async function untilDrained(fleet: Fleet): Promise<void> {
-  const giveUpAtMs = monotonicNowMs() + drainBoundMs;
-  while ((await countHoldings(fleet)) > 0 && monotonicNowMs() < giveUpAtMs) {
-    await delay(drainPollMs);
+/** Waits until no engine holds memory, up to 10 s, so that the next cell starts with empty engines. */
+async function waitUntilDrained(fleet: Fleet): Promise<void> {
+  const deadlineMs = monotonicNowMs() + drainTimeoutMs;
+  while ((await countHoldings(fleet)) > 0 && monotonicNowMs() < deadlineMs) {
+    await delay(drainPollIntervalMs);
   }
 }
 
 async function countHoldings(fleet: Fleet): Promise<number> {
-  const replies = await Promise.all(
+  const responses = await Promise.all(
     engineAddresses(fleet).map((address) =>
       readJson(`${address}/holdings`).catch(() => ({ holdings: [] })),
     ),
   );
-  return (replies as { holdings: unknown[] }[]).reduce(
+  return (responses as { holdings: unknown[] }[]).reduce(
     (total, { holdings }) => total + holdings.length,
     0,
   );
--- a/packages/bench/src/experiments/goodputTypes.ts
+++ b/packages/bench/src/experiments/goodputTypes.ts
@@ -1,6 +1,6 @@
-/** The cells of the goodput experiment: scenarios, policies and seeds, and what was measured in each. */
+/** Options, scenarios, cells and figures of the goodput experiment. */
 import type { InstitutionName } from '../fleet/fleetDescription';
-import type { EngineProfile } from '../fleet/fleetParts';
+import type { EngineProfile } from '../fleet/fleetTypes';
 import type { CapacityEstimate } from '../traffic/capacity';
 import type { FaultKind } from './faults';
 import type { CellResult } from './goodputCell';
@@ -16,16 +16,16 @@
 
 export interface GoodputOptions {
   institutions: InstitutionName[];
-  /** Shares of capacity, in percent. */
+  /** Loads in percent of the estimated capacity. */
   loadsPercent: number[];
-  /** Met at 100% of capacity. */
+  /** Faults to inject, each at 100% load. */
   faults: FaultKind[];
   seeds: number[];
   policies: PolicyName[];
   seconds: number;
-  /** Stretches all times, so that the machine is not the bottleneck. */
+  /** Factor for all times, so that the machine is not the bottleneck. */
   timeScale: number;
-  /** Entries of each policy. */
+  /** Number of entries for each policy. */
   entryCount: number;
 }
 
@@ -50,7 +50,7 @@
   machine: { before: MachineState; after: MachineState };
 }
 
-export function scenariosOf({ loadsPercent, faults }: GoodputOptions): Scenario[] {
+export function listScenarios({ loadsPercent, faults }: GoodputOptions): Scenario[] {
   const byLoad = loadsPercent.filter((loadPercent) => loadPercent > 0);
   return [
     ...byLoad.map((loadPercent): Scenario => ({ loadPercent })),
@@ -58,6 +58,6 @@
   ];
 }
 
-export function scenarioName({ loadPercent, fault }: Scenario): string {
+export function formatScenario({ loadPercent, fault }: Scenario): string {
   return fault === undefined ? `${loadPercent}%` : `${loadPercent}%, ${fault}`;
 }
--- a/packages/bench/src/experiments/machine.ts
+++ b/packages/bench/src/experiments/machine.ts
@@ -1,4 +1,4 @@
-/** The machine's state, told beside every figure: other work on it shows in the figures. */
+/** Machine and load averages, reported with the figures because other load on the machine affects them. */
 import { availableParallelism, cpus, loadavg, totalmem } from 'node:os';
 
 export interface MachineState {
@@ -6,7 +6,7 @@
   processor: string;
   memoryBytes: number;
   node: string;
-  /** Averages over one and five minutes. */
+  /** Load averages over one and five minutes. */
   loadAverages: [oneMinute: number, fiveMinutes: number];
 }
 
--- a/packages/bench/src/experiments/overhead.ts
+++ b/packages/bench/src/experiments/overhead.ts
@@ -1,9 +1,9 @@
 /**
- * What entry and agent add to an answer, against asking the engine directly: latency of the first
- * token and of each token, processor time for each request and token, and resident memory.
+ * Overhead of entry and agent compared with calling the engine directly: latency of the first token and between
+ * tokens, processor time per request and per token, and resident memory.
  */
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
-import { quantilesOf } from '../accounting/quantiles';
+import { computeQuantiles } from '../accounting/quantiles';
 import { readUsage, type ProcessUsage } from '../accounting/processUsage';
 import { createDispatcher } from '../load/openLoop';
 import { renderOverhead } from '../report/overheadReport';
@@ -19,43 +19,43 @@
 } from './overheadFigures';
 import { startOverheadFleet, type OverheadFleet } from './overheadFleet';
 
-/** A usual answer of the users' plan; the short one separates the cost of requests from that of tokens. */
+/** Typical response length; the short one separates the cost of a request from that of its tokens. */
 const longTokens = 300;
 const shortTokens = 8;
-const roundsByStreams = (streams: number) => (streams === 1 ? 3 : 2);
+const resolveRounds = (streams: number) => (streams === 1 ? 3 : 2);
 const idleMs = 5_000;
-const memoryPollMs = 2_000;
-const pauseMs = 500;
+const memoryPollIntervalMs = 2_000;
+const batchPauseMs = 500;
 
 export async function runOverhead(
   context: ExperimentContext,
   options: OverheadOptions,
 ): Promise<ExperimentReport> {
   const before = readMachine();
-  const target = await startOverheadFleet(context);
+  const fleet = await startOverheadFleet(context);
   try {
-    const idle = await measureIdle(target);
-    await runBatch(batchOptions(context, target, options, 'warm-up', 20, 100));
+    const idle = await measureIdle(fleet);
+    await runBatch(createBatchOptions(context, fleet, options, 'warm-up', 20, 100));
     const levels: OverheadLevel[] = [];
     for (const streams of options.levels) {
-      levels.push(await measureLevel(context, target, options, streams, idle));
+      levels.push(await measureLevel(context, fleet, options, streams, idle));
       context.progress(`${streams} streams measured`);
     }
     const machine = { before, after: readMachine() };
     const figures: OverheadFigures = { options, longTokens, idle, levels, machine };
     return { text: renderOverhead(figures), figures };
   } finally {
-    await target.stop();
+    await fleet.stop();
   }
 }
 
-/** `cpuSeconds` is a rate here: processor seconds a second. */
-async function measureIdle(target: OverheadFleet): Promise<OverheadFigures['idle']> {
+/** Here `cpuSeconds` is a rate: processor seconds per second. */
+async function measureIdle(fleet: OverheadFleet): Promise<OverheadFigures['idle']> {
   await delay(idleMs);
-  const first = await readAllUsage(target);
+  const first = await readFleetUsage(fleet);
   const startedAtMs = monotonicNowMs();
   await delay(idleMs);
-  const second = await readAllUsage(target);
+  const second = await readFleetUsage(fleet);
   const seconds = (monotonicNowMs() - startedAtMs) / 1000;
   const rate = (later: ProcessUsage, earlier: ProcessUsage): ProcessUsage => ({
     cpuSeconds: (later.cpuSeconds - earlier.cpuSeconds) / seconds,
@@ -64,13 +64,13 @@
   return { entry: rate(second.entry, first.entry), agent: rate(second.agent, first.agent) };
 }
 
-interface AllUsage {
+interface FleetUsage {
   entry: ProcessUsage;
-  /** Processor time of all agents, memory of the largest. */
+  /** Processor time of all agents together, memory of the largest. */
   agent: ProcessUsage;
 }
 
-async function readAllUsage({ entryAdmin, agentAdmins }: OverheadFleet): Promise<AllUsage> {
+async function readFleetUsage({ entryAdmin, agentAdmins }: OverheadFleet): Promise<FleetUsage> {
   const [entry, agents] = await Promise.all([
     readUsage(entryAdmin),
     Promise.all(agentAdmins.map(readUsage)),
@@ -84,20 +84,20 @@
   };
 }
 
-function batchOptions(
+function createBatchOptions(
   context: ExperimentContext,
-  target: OverheadFleet,
+  fleet: OverheadFleet,
   { promptTokens }: OverheadOptions,
   label: string,
   streamCount: number,
   outputTokens: number,
 ): BatchOptions {
   const { signal } = context;
-  const rounds = roundsByStreams(streamCount);
+  const rounds = resolveRounds(streamCount);
   const dispatcher = createDispatcher();
   const path = batchPaths.entry;
   return {
-    target,
+    fleet,
     dispatcher,
     path,
     streamCount,
@@ -120,14 +120,14 @@
   requests: number;
   tokens: number;
   seconds: number;
-  used: AllUsage;
+  used: FleetUsage;
   peak: { entryBytes: number; agentBytes: number };
 }
 
-/** The kinds take turns, so that a disturbance of the machine meets all of them. */
+/** Alternates the kinds of batches, so that other load on the machine affects all of them alike. */
 async function measureLevel(
   context: ExperimentContext,
-  target: OverheadFleet,
+  fleet: OverheadFleet,
   options: OverheadOptions,
   streams: number,
   idle: OverheadFigures['idle'],
@@ -135,31 +135,38 @@
   const batches: LevelBatches = { direct: [], long: [], short: [] };
   for (let repeat = 0; repeat < options.repeats && !context.signal.aborted; repeat += 1) {
     const label = `level ${streams} repeat ${repeat}`;
-    const long = batchOptions(context, target, options, `${label} long`, streams, longTokens);
-    const short = batchOptions(context, target, options, `${label} short`, streams, shortTokens);
+    const long = createBatchOptions(context, fleet, options, `${label} long`, streams, longTokens);
+    const short = createBatchOptions(
+      context,
+      fleet,
+      options,
+      `${label} short`,
+      streams,
+      shortTokens,
+    );
     const direct = { ...long, label: `${label} direct`, path: batchPaths.direct };
     batches.direct.push(await runBatch(direct));
-    batches.long.push(await meterBatch(target, long));
-    batches.short.push(await meterBatch(target, { ...short, rounds: 2 * short.rounds }));
+    batches.long.push(await meterBatch(fleet, long));
+    batches.short.push(await meterBatch(fleet, { ...short, rounds: 2 * short.rounds }));
   }
   return summarizeLevel(streams, batches, idle);
 }
 
-async function meterBatch(target: OverheadFleet, options: BatchOptions): Promise<MeteredBatch> {
-  const first = await readAllUsage(target);
+async function meterBatch(fleet: OverheadFleet, options: BatchOptions): Promise<MeteredBatch> {
+  const first = await readFleetUsage(fleet);
   const startedAtMs = monotonicNowMs();
   const peak = { entryBytes: 0, agentBytes: 0 };
   const poll = setInterval(() => {
-    void readAllUsage(target).then(({ entry, agent }) => {
+    void readFleetUsage(fleet).then(({ entry, agent }) => {
       peak.entryBytes = Math.max(peak.entryBytes, entry.residentBytes);
       peak.agentBytes = Math.max(peak.agentBytes, agent.residentBytes);
     });
-  }, memoryPollMs);
+  }, memoryPollIntervalMs);
   const result = await runBatch(options);
   clearInterval(poll);
-  const last = await readAllUsage(target);
+  const last = await readFleetUsage(fleet);
   const seconds = (monotonicNowMs() - startedAtMs) / 1000;
-  await delay(pauseMs);
+  await delay(batchPauseMs);
   return {
     result,
     requests: result.times.length,
@@ -170,13 +177,13 @@
       agentBytes: Math.max(peak.agentBytes, last.agent.residentBytes),
     },
     used: {
-      entry: usageBetween(first.entry, last.entry),
-      agent: usageBetween(first.agent, last.agent),
+      entry: subtractUsage(first.entry, last.entry),
+      agent: subtractUsage(first.agent, last.agent),
     },
   };
 }
 
-function usageBetween(first: ProcessUsage, last: ProcessUsage): ProcessUsage {
+function subtractUsage(first: ProcessUsage, last: ProcessUsage): ProcessUsage {
   return {
     cpuSeconds: last.cpuSeconds - first.cpuSeconds,
     residentBytes: last.residentBytes,
@@ -192,30 +199,30 @@
   const allResults = [...batches.direct, ...entryBatches.map(({ result }) => result)];
   return {
     streams,
-    direct: pathTimes(batches.direct),
-    entry: pathTimes(batches.long.map(({ result }) => result)),
-    entryCost: costOf(batches, ({ entry }) => entry.cpuSeconds, idle.entry.cpuSeconds),
-    agentCost: costOf(batches, ({ agent }) => agent.cpuSeconds, idle.agent.cpuSeconds),
+    direct: summarizeTimes(batches.direct),
+    entry: summarizeTimes(batches.long.map(({ result }) => result)),
+    entryCost: estimateCost(batches, ({ entry }) => entry.cpuSeconds, idle.entry.cpuSeconds),
+    agentCost: estimateCost(batches, ({ agent }) => agent.cpuSeconds, idle.agent.cpuSeconds),
     peakEntryBytes: Math.max(...entryBatches.map(({ peak }) => peak.entryBytes)),
     peakAgentBytes: Math.max(...entryBatches.map(({ peak }) => peak.agentBytes)),
     failures: [...new Set(allResults.flatMap(({ failures }) => failures))],
   };
 }
 
-function pathTimes(results: readonly BatchResult[]): PathTimes {
+function summarizeTimes(results: readonly BatchResult[]): PathTimes {
   const times = results.flatMap((result) => result.times);
   return {
-    firstTokenMs: quantilesOf(times.flatMap(({ firstTokenMs }) => firstTokenMs ?? [])),
-    betweenTokensMs: quantilesOf(times.flatMap(({ gapsMs }) => gapsMs)),
-    answerMs: quantilesOf(times.map(({ endMs }) => endMs)),
+    firstTokenMs: computeQuantiles(times.flatMap(({ firstTokenMs }) => firstTokenMs ?? [])),
+    betweenTokensMs: computeQuantiles(times.flatMap(({ gapsMs }) => gapsMs)),
+    answerMs: computeQuantiles(times.map(({ endMs }) => endMs)),
     failed: results.reduce((total, { failed }) => total + failed, 0),
   };
 }
 
-/** Long and short answers differ in their tokens alone: two equations for two unknowns. */
-function costOf(
+/** Long and short responses differ only in their number of tokens, which gives two equations for two unknowns. */
+function estimateCost(
   batches: LevelBatches,
-  cpuSecondsOf: (used: AllUsage) => number,
+  cpuSecondsOf: (used: FleetUsage) => number,
   idleRate: number,
 ): ProcessorCost {
   const perRequest = (kind: readonly MeteredBatch[]) => {
--- a/packages/bench/src/experiments/overheadBatches.ts
+++ b/packages/bench/src/experiments/overheadBatches.ts
@@ -1,23 +1,23 @@
-/** Batches of streams for the overhead experiment: the same answers with and without the system. */
+/** Batches of streams for the overhead experiment, sent through an entry or directly to the engines. */
 import type { Agent } from 'undici';
-import { callModel } from '../load/callerStream';
-import { streamFromEngine } from '../load/engineStream';
+import { callModel } from '../load/callerClient';
+import { streamFromEngine } from '../load/engineClient';
 import type { StreamTimes } from '../load/streamTiming';
 import { runClosedLoop } from './closedLoop';
-import { overheadEngine, promptWithOutput, type OverheadFleet } from './overheadFleet';
+import { overheadEngine, findPromptWithOutput, type OverheadFleet } from './overheadFleet';
 
 export const batchPaths = { direct: 'direct', entry: 'entry' } as const;
 export type BatchPath = (typeof batchPaths)[keyof typeof batchPaths];
 
 export interface BatchOptions {
-  target: OverheadFleet;
+  fleet: OverheadFleet;
   dispatcher: Agent;
   path: BatchPath;
   streamCount: number;
   rounds: number;
   outputTokens: number;
   promptTokens: number;
-  /** Makes the prompts of this batch differ from those of all others. */
+  /** Unique per batch; makes its prompts differ from those of all other batches. */
   label: string;
   signal: AbortSignal;
 }
@@ -25,18 +25,18 @@
 export interface BatchResult {
   times: StreamTimes[];
   failed: number;
-  /** Reasons of the failures, once each. */
+  /** Distinct reasons of the failures. */
   failures: string[];
 }
 
-const answerBoundMs = 60_000;
+const responseTimeoutMs = 60_000;
 
 type Outcome = { times: StreamTimes } | { failure: string };
 
 export async function runBatch(options: BatchOptions): Promise<BatchResult> {
   const { streamCount, rounds, outputTokens, signal, path } = options;
-  const spreadMs = outputTokens * overheadEngine.stepBaseMs;
-  const outcomes = await runClosedLoop({ streamCount, rounds, spreadMs, signal }, (index) =>
+  const rampUpMs = outputTokens * overheadEngine.stepBaseMs;
+  const outcomes = await runClosedLoop({ streamCount, rounds, rampUpMs, signal }, (index) =>
     path === batchPaths.direct ? runDirect(options, index) : runThroughEntry(options, index),
   );
   const failures = outcomes.flatMap((outcome) => ('failure' in outcome ? [outcome.failure] : []));
@@ -47,36 +47,36 @@
   };
 }
 
-function promptOf({ label, target, promptTokens, outputTokens }: BatchOptions, index: number) {
-  return promptWithOutput(`${label}-${index}`, target.engineModel, promptTokens, outputTokens);
+function createPrompt({ label, fleet, promptTokens, outputTokens }: BatchOptions, index: number) {
+  return findPromptWithOutput(`${label}-${index}`, fleet.engineModel, promptTokens, outputTokens);
 }
 
 async function runDirect(options: BatchOptions, index: number): Promise<Outcome> {
-  const { target, dispatcher, outputTokens } = options;
-  const { engineAddresses } = target;
-  const answer = await streamFromEngine({
+  const { fleet, dispatcher, outputTokens } = options;
+  const { engineAddresses } = fleet;
+  const response = await streamFromEngine({
     dispatcher,
     address: engineAddresses[index % engineAddresses.length] ?? '',
-    model: target.engineModel,
-    prompt: promptOf(options, index),
+    model: fleet.engineModel,
+    prompt: createPrompt(options, index),
     maxOutputTokens: outputTokens,
   }).catch((error: Error) => error);
-  if (answer instanceof Error) {
-    return { failure: answer.message };
+  if (response instanceof Error) {
+    return { failure: response.message };
   }
-  return answer.isComplete ? { times: answer } : { failure: 'incomplete' };
+  return response.isComplete ? { times: response } : { failure: 'incomplete' };
 }
 
 async function runThroughEntry(options: BatchOptions, index: number): Promise<Outcome> {
-  const { target, dispatcher, outputTokens, promptTokens, label } = options;
-  const prompt = promptOf(options, index);
-  const answer = await callModel({
+  const { fleet, dispatcher, outputTokens, promptTokens, label } = options;
+  const prompt = createPrompt(options, index);
+  const response = await callModel({
     dispatcher,
-    callerAddress: target.callerAddress,
-    institution: target.institution,
-    model: target.service,
+    callerAddress: fleet.callerAddress,
+    institution: fleet.institution,
+    model: fleet.service,
     keyPrefix: label,
-    timeoutMs: answerBoundMs,
+    timeoutMs: responseTimeoutMs,
     arrival: {
       kind: 'model',
       atMs: 0,
@@ -89,9 +89,9 @@
       noRepeat: false,
     },
   });
-  const { end } = answer;
+  const { end } = response;
   if (end.kind === 'complete') {
-    return { times: answer };
+    return { times: response };
   }
   return { failure: 'reason' in end ? `${end.kind}: ${end.reason}` : end.kind };
 }
--- a/packages/bench/src/experiments/overheadFigures.ts
+++ b/packages/bench/src/experiments/overheadFigures.ts
@@ -1,12 +1,12 @@
-/** What the overhead experiment finds, for its report and for later work with the figures. */
+/** Options and figures of the overhead experiment. */
 import type { ProcessUsage } from '../accounting/processUsage';
 import type { Quantiles } from '../accounting/quantiles';
 import type { MachineState } from './machine';
 
 export interface OverheadOptions {
-  /** Streams at once. */
+  /** Numbers of concurrent streams to measure. */
   levels: number[];
-  /** Batches of each kind at each level. */
+  /** Number of batches of each kind at each level. */
   repeats: number;
   promptTokens: number;
 }
@@ -18,7 +18,7 @@
   failed: number;
 }
 
-/** Processor time beyond that of the idle process, in microseconds. */
+/** Processor time above that of the idle process, in microseconds. */
 export interface ProcessorCost {
   perRequestUs: number;
   perTokenUs: number;
@@ -29,10 +29,10 @@
   direct: PathTimes;
   entry: PathTimes;
   entryCost: ProcessorCost;
-  /** Of all agents together. */
+  /** Cost of all agents together. */
   agentCost: ProcessorCost;
   peakEntryBytes: number;
-  /** Of the largest agent. */
+  /** Peak of the agent with the largest memory. */
   peakAgentBytes: number;
   failures: string[];
 }
--- a/packages/bench/src/experiments/overheadFleet.ts
+++ b/packages/bench/src/experiments/overheadFleet.ts
@@ -1,4 +1,4 @@
-/** The fleet and the prompts of the overhead experiment. */
+/** Fleet and prompts of the overhead experiment. */
 import { expectedOutput } from '@bluebellhitch/standins';
 import {
   describeFleet,
@@ -7,13 +7,13 @@
   modelDocumentOf,
   type FleetDescription,
 } from '../fleet/fleetDescription';
-import type { EngineProfile } from '../fleet/fleetParts';
+import type { EngineProfile } from '../fleet/fleetTypes';
 import { startBinary, type RunningBinary } from '../fleet/childProcess';
 import { backendSpec, startFleet, type Fleet } from '../fleet/startFleet';
-import { textOfTokens } from '../traffic/promptText';
+import { createText } from '../traffic/promptText';
 import type { ExperimentContext } from './context';
 
-/** Decodes as fast as the users' aim, with room for all streams, so that nothing ever waits. */
+/** Decodes at the target time between tokens, with room for all streams, so that no request queues. */
 export const overheadEngine: EngineProfile = {
   slotCount: 256,
   capacityKvBytes: 4_000_000_000,
@@ -36,12 +36,12 @@
   institution: string;
   callerAddress: string;
   entryAdmin: string;
-  /** Engines of the same settings that no agent watches: it would cancel streams that it did not start. */
+  /** Engines with the same settings but without an agent, which would cancel streams that it did not start. */
   engineAddresses: string[];
   agentAdmins: string[];
 }
 
-/** One entry before a few engines that prefill and decode, each with its agent. */
+/** Starts one entry and four engines that prefill and decode, each with its agent. */
 export async function startOverheadFleet(context: ExperimentContext): Promise<OverheadFleet> {
   const description = await describeFleet({
     ...context,
@@ -87,15 +87,15 @@
   }
 }
 
-/** A prompt that no other label has, and whose answer is at least `outputTokens` long. */
-export function promptWithOutput(
+/** Finds a prompt that is unique to the label and whose output has at least `outputTokens` tokens. */
+export function findPromptWithOutput(
   label: string,
   model: string,
   promptTokens: number,
   outputTokens: number,
 ): string {
   for (let attempt = 0; ; attempt += 1) {
-    const prompt = textOfTokens(`${label} ${attempt}`, promptTokens);
+    const prompt = createText(`${label} ${attempt}`, promptTokens);
     if (expectedOutput(prompt, model).tokenCount >= outputTokens) {
       return prompt;
     }
--- a/packages/bench/src/experiments/quotaWays.ts
+++ b/packages/bench/src/experiments/quotaStrategies.ts
@@ -1,5 +1,6 @@
 /**
- * Compares ways in which routers together keep a workspace's quota, or a server's own limit, by the same loads and seeds.
+ * Compares strategies by which routers jointly keep a workspace's quota or a server's own limit, with the same
+ * loads and seeds.
  */
 import {
   quotaLoads,
@@ -13,31 +14,31 @@
 import { renderTable } from '../report/table';
 import type { ExperimentReport } from './context';
 
-export interface QuotaWaysOptions {
+export interface QuotaStrategiesOptions {
   seeds: readonly number[];
 }
 
 interface Row {
   load: string;
   way: QuotaWay;
-  /** Of what one account without delay admits: what was admitted of the same requests. */
+  /** Of the load that one token bucket shared without delay would admit, the share that was admitted. */
   owedServed: number;
-  /** All that was admitted, over what one account without delay admits. */
+  /** All admitted load divided by the load that one token bucket shared without delay would admit. */
   admitted: number;
-  /** The fullest window, over what is allowed in it. */
+  /** Load admitted in the fullest window divided by the load allowed in it. */
   fullestWindow: number;
 }
 
 const { account, evenShares, demandShares, blockLater, fewRouters, permits } = quotaWays;
-const workspaceWays = [account, evenShares, demandShares, blockLater];
-const serverLimitWays = [account, evenShares, fewRouters, permits];
+const workspaceStrategies = [account, evenShares, demandShares, blockLater];
+const serverLimitStrategies = [account, evenShares, fewRouters, permits];
 const headers = ['load', 'way', 'owed served', 'admitted', 'fullest window'];
 const digits = 2;
 
-export function runQuotaWays({ seeds }: QuotaWaysOptions): ExperimentReport {
+export function runQuotaStrategies({ seeds }: QuotaStrategiesOptions): ExperimentReport {
   const rows = [
-    ...rowsOf(quotaLoads, workspaceWays, seeds),
-    ...rowsOf(serverLimitLoads, serverLimitWays, seeds),
+    ...measureRows(quotaLoads, workspaceStrategies, seeds),
+    ...measureRows(serverLimitLoads, serverLimitStrategies, seeds),
   ];
   const text = renderTable(
     headers,
@@ -50,17 +51,17 @@
   return { text, figures: { seeds, rows } };
 }
 
-function rowsOf(
+function measureRows(
   loads: Readonly<Record<string, QuotaLoad>>,
-  ways: readonly QuotaWay[],
+  strategies: readonly QuotaWay[],
   seeds: readonly number[],
 ): Row[] {
   return Object.entries(loads).flatMap(([name, shape]) =>
-    ways.map((way) => rowOf({ name, shape }, way, seeds)),
+    strategies.map((way) => measureRow({ name, shape }, way, seeds)),
   );
 }
 
-function rowOf(
+function measureRow(
   { name, shape }: { name: string; shape: QuotaLoad },
   way: QuotaWay,
   seeds: readonly number[],
--- a/packages/bench/src/experiments/replays.ts
+++ b/packages/bench/src/experiments/replays.ts
@@ -1,4 +1,4 @@
-/** Replays patterns of load over seeds and tells how callers fared, with and without some mechanisms. */
+/** Replays load patterns over several seeds and reports outcomes for callers, optionally without some mechanisms. */
 import { readFile } from 'node:fs/promises';
 import {
   addFigures,
@@ -43,12 +43,12 @@
   );
   const text = renderTable(
     headers,
-    rows.map(([name, figures]) => rowOf(name, figures)),
+    rows.map(([name, figures]) => renderRow(name, figures)),
   );
   return { text, figures: { without: options.without, ...Object.fromEntries(rows) } };
 }
 
-/** One seed after the other: a replay takes the process's clock. */
+/** Runs the seeds in sequence, because a replay takes over the clock of the process. */
 async function replayPattern(
   name: string,
   { seeds, without }: ReplaysOptions,
@@ -67,23 +67,23 @@
   return addFigures(figures);
 }
 
-function rowOf(name: string, figures: ReplayFigures): string[] {
+function renderRow(name: string, figures: ReplayFigures): string[] {
   const { asked, outcomes, preempted, readInVainTokens, heldMs, refusedAgain } = figures;
   const { turnedAway, reservationsAsked, largestTenth, nextFifth } = figures;
   return [
     name,
     ...[asked, outcomes['on-time'], outcomes.late, outcomes.refused, outcomes.failed].map(String),
     ...[outcomes.left, preempted, readInVainTokens, Math.round(heldMs), refusedAgain].map(String),
-    percentOf(turnedAway, reservationsAsked),
-    servedPercent(largestTenth),
-    servedPercent(nextFifth),
+    formatPercentage(turnedAway, reservationsAsked),
+    formatServedPercent(largestTenth),
+    formatServedPercent(nextFifth),
   ];
 }
 
-function servedPercent({ served, asked }: ServedCount): string {
-  return percentOf(served, asked);
+function formatServedPercent({ served, asked }: ServedCount): string {
+  return formatPercentage(served, asked);
 }
 
-function percentOf(part: number, whole: number): string {
+function formatPercentage(part: number, whole: number): string {
   return whole === 0 ? '-' : ((100 * part) / whole).toFixed(1);
 }
--- a/packages/bench/src/fleet/childProcess.ts
+++ b/packages/bench/src/fleet/childProcess.ts
@@ -1,6 +1,6 @@
 /**
- * Processes of dist/ that the bench and `npm start` start. None outlives its starter: each ends with its
- * standard input, which the kernel closes when the starter dies.
+ * Starts and stops binaries of dist/ for the bench and `npm start`. No child outlives its parent: each exits when
+ * its standard input ends, which the kernel closes when the parent dies.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { once } from 'node:events';
@@ -9,56 +9,56 @@
 import { flagName, monotonicNowMs } from '@bluebellhitch/shared';
 
 export interface BinarySpec {
-  /** Unique within a fleet; for messages. */
+  /** Unique within a fleet; used in messages. */
   name: string;
-  /** File of the directory of binaries, without its suffix. */
+  /** File name in the directory of binaries, without its suffix. */
   binary: string;
-  /** Become flags; those that are undefined are left out. */
+  /** Passed as flags; undefined ones are omitted. */
   settings: Record<string, string | number | undefined>;
 }
 
 export interface StartBinaryOptions {
-  /** Where the built binaries are. */
+  /** Directory of the built binaries. */
   binaryDirectory: string;
-  /** Loaded into stand-ins, which do not watch their parent by themselves. */
+  /** Module preloaded into stand-ins, which do not watch their parent by themselves. */
   exitWithParentPath: string;
-  /** How long a graceful stop may take; default 8 s. */
+  /** Timeout of a graceful stop in milliseconds; 8 s by default. */
   stopBoundMs?: number;
-  /** Sees every line that the processes write. */
+  /** Called with every line that the process writes to its outputs. */
   onLine?: (name: string, line: string) => void;
 }
 
 export interface RunningBinary {
   name: string;
   pid: number;
-  /** The addresses of its `listening` line. */
+  /** Addresses from the context of its `listening` log line. */
   addresses: Record<string, string>;
-  /** Resolves with the signal or the exit code by which it ended. */
+  /** Resolves with the signal or exit code with which the process ended. */
   ended: Promise<string>;
   isRunning(): boolean;
-  /** Asks for a graceful stop and kills what takes too long; false unless it ended with exit code 0. */
+  /** Stops the process gracefully and kills it after the timeout; resolves with whether its exit code was 0. */
   stop(): Promise<boolean>;
   kill(): void;
 }
 
-const startBoundMs = 60_000;
-const defaultStopBoundMs = 8_000;
-const keptErrorLines = 20;
+const startTimeoutMs = 60_000;
+const defaultStopTimeoutMs = 8_000;
+const maxErrorLines = 20;
 
-/** Starts a binary; resolves once it listens and rejects where it does not in time. */
+/** Starts a binary; resolves once it listens, and rejects if it exits or does not listen within 60 s. */
 export async function startBinary(
   spec: BinarySpec,
   options: StartBinaryOptions,
 ): Promise<RunningBinary> {
-  const child = spawn(process.execPath, commandLineOf(spec, options), {
-    env: childEnvironment(),
+  const child = spawn(process.execPath, buildArguments(spec, options), {
+    env: buildChildEnvironment(),
     stdio: ['pipe', 'pipe', 'pipe'],
-    // Its own process group, so that Ctrl-C reaches the starter alone and the order of stops holds.
+    // A process group of its own: Ctrl-C reaches the parent only, which then stops the processes in order.
     detached: true,
   });
-  // Writing to a child that died must not end the starter.
+  // Without a listener, an error on the input of a child that died would end the parent.
   child.stdin?.on('error', () => undefined);
-  const { onLine = () => undefined, stopBoundMs = defaultStopBoundMs } = options;
+  const { onLine = () => undefined, stopBoundMs = defaultStopTimeoutMs } = options;
   const ended = new Promise<string>((resolve) => {
     child.once('exit', (code, signal) => resolve(signal ?? `exit code ${code}`));
   });
@@ -79,7 +79,7 @@
   };
 }
 
-function commandLineOf(spec: BinarySpec, options: StartBinaryOptions): string[] {
+function buildArguments(spec: BinarySpec, options: StartBinaryOptions): string[] {
   const preload = spec.binary.startsWith('standin-')
     ? ['--import', options.exitWithParentPath]
     : [];
@@ -90,10 +90,10 @@
 }
 
 /**
- * The caller's `BLUEBELL_*` variables are the starter's own; a binary's settings are passed as flags. Fleets
- * run on this machine only and know each other without keys.
+ * Leaves out the `BLUEBELL_*` variables of the parent, which are its own; children get their settings as flags.
+ * Fleets run on this machine only, so their processes call each other without keys.
  */
-function childEnvironment(): NodeJS.ProcessEnv {
+function buildChildEnvironment(): NodeJS.ProcessEnv {
   const inherited = Object.entries(process.env).filter(([name]) => !name.startsWith('BLUEBELL_'));
   return {
     ...Object.fromEntries(inherited),
@@ -111,12 +111,12 @@
   readLines(child.stderr, (line) => {
     onLine(name, line);
     recentErrors.push(line);
-    recentErrors.splice(0, Math.max(0, recentErrors.length - keptErrorLines));
+    recentErrors.splice(0, Math.max(0, recentErrors.length - maxErrorLines));
   });
   return new Promise((resolve, reject) => {
     const fail = (cause: string) =>
       reject(new Error(`${name} did not start: ${cause}\n${recentErrors.join('\n')}`));
-    const timer = setTimeout(() => fail('no listening line in time'), startBoundMs);
+    const timer = setTimeout(() => fail('no `listening` log line within 60 s'), startTimeoutMs);
     child.once('error', (error) => fail(error.message));
     child.once('close', (code, signal) => fail(`ended with ${signal ?? `code ${code}`}`));
     readLines(child.stdout, (line) => {
@@ -142,7 +142,7 @@
   context: Record<string, string>;
 }
 
-/** Reads a JSON log line; anything else is undefined. */
+/** Parses a JSON log line; undefined if the line is not JSON. */
 export function parseLogLine(line: string): LogLine | undefined {
   try {
     return JSON.parse(line) as LogLine;
@@ -167,7 +167,9 @@
   clearTimeout(timer);
   if (child.signalCode === 'SIGKILL') {
     const waitedMs = Math.round(monotonicNowMs() - startedAtMs);
-    process.stderr.write(`killed process ${child.pid} after waiting ${waitedMs} ms for its stop\n`);
+    process.stderr.write(
+      `killed process ${child.pid}: it did not stop gracefully within ${waitedMs} ms\n`,
+    );
   }
   return child.exitCode === 0;
 }
--- a/packages/bench/src/fleet/controlCalls.ts
+++ b/packages/bench/src/fleet/controlCalls.ts
@@ -1,13 +1,13 @@
-/** What operators, the platform and faults do at the stand-ins' control endpoints. */
+/** Calls to the platform stand-in and to control endpoints, for operators' edits, the instance list and faults. */
 import { request } from 'undici';
 
-// Each call has a connection of its own: one that was kept alive may be closed by its server just as
-// the next call is written to it, which would end an experiment minutes after its start.
-const ownConnection = { reset: true };
+// Opens a new connection for each call: a server may close a kept-alive connection just as the next call is
+// written to it, and that failure would end an experiment minutes after its start.
+const newConnection = { reset: true };
 
-/** A GET that succeeds with its text; throws on any other answer. */
+/** Sends a GET request and returns the body as text; throws on any status from 300. */
 export async function readText(url: string): Promise<string> {
-  const response = await request(url, ownConnection);
+  const response = await request(url, newConnection);
   const text = await response.body.text();
   if (response.statusCode >= 300) {
     throw new Error(`GET ${url}: ${response.statusCode} ${text}`);
@@ -15,14 +15,14 @@
   return text;
 }
 
-/** Sends a JSON body; throws on any answer but success. */
+/** Sends a JSON body; throws on any status from 300. */
 export async function sendJson(
   method: 'POST' | 'PUT' | 'DELETE',
   url: string,
   body: object,
 ): Promise<void> {
   const response = await request(url, {
-    ...ownConnection,
+    ...newConnection,
     method,
     headers: { 'content-type': 'application/json' },
     body: JSON.stringify(body),
@@ -33,12 +33,12 @@
   }
 }
 
-/** Reads a JSON answer; throws on any answer but success. */
+/** Sends a GET request and parses the JSON body; throws on any status from 300. */
 export async function readJson(url: string): Promise<unknown> {
   return JSON.parse(await readText(url)) as unknown;
 }
 
-/** Stores a service's document as operators do. */
+/** Stores a service's document as an operator's tool does. */
 export function applyDocument(platformUrl: string, service: string, text: string): Promise<void> {
   const value = { text, format: 'yaml' };
   return sendJson('POST', `${platformUrl}/objects/document/${service}`, { value });
@@ -53,7 +53,7 @@
   adminAddress?: string;
 }
 
-/** Lists a process as a live instance. */
+/** Adds a process to the instance list as live. */
 export function registerInstance(
   platformUrl: string,
   id: string,
@@ -62,17 +62,17 @@
   return sendJson('PUT', `${platformUrl}/control/instances/${id}`, { ...instance, state: 'live' });
 }
 
-/** The instances as processes see them: with the platform's lag. */
+/** Reads the instance list as other processes see it, with the platform's lag. */
 export function listInstances(platformUrl: string): Promise<unknown> {
   return readJson(`${platformUrl}/instances`);
 }
 
-/** Shows a process as leaving, as the platform does for a planned stop. */
+/** Marks an instance as leaving, as the platform does for a planned stop. */
 export function markLeaving(platformUrl: string, id: string): Promise<void> {
   return sendJson('POST', `${platformUrl}/control/instances/${id}/leaving`, {});
 }
 
-/** Takes a process off the instance list, as the platform does some time after its death. */
+/** Removes an instance from the list, as the platform does some time after its process has died. */
 export function removeInstance(platformUrl: string, id: string): Promise<void> {
   return sendJson('DELETE', `${platformUrl}/control/instances/${id}`, {});
 }
--- a/packages/bench/src/fleet/developmentFleet.ts
+++ b/packages/bench/src/fleet/developmentFleet.ts
@@ -1,12 +1,12 @@
-/** What `npm start` needs of the bench's launcher; `scripts/build.mjs` bundles it into dist/. */
+/** Exports for `npm start`; `scripts/build.mjs` bundles this module into dist/. */
 import type { WorkerCounts } from './fleetDescription';
-import type { EngineProfile } from './fleetParts';
+import type { EngineProfile } from './fleetTypes';
 
 export { parseLogLine } from './childProcess';
 export { describeFleet, institutionNames, modelDocumentOf } from './fleetDescription';
 export { startFleet } from './startFleet';
 
-/** Workers for one person at a desk; `describeFleet` starts today's number without them. */
+/** Worker counts for a developer's machine; `describeFleet` uses those of production by default. */
 export const deskWorkers: Record<string, WorkerCounts> = {
   'draft-models': { prefill: 2, decode: 3 },
   'counter-app': { plain: 2 },
@@ -16,13 +16,13 @@
 
 const slotCount = 20;
 const kvBytesPerToken = 131_072;
-const typicalTokens = 2_754;
+const typicalRequestTokens = 2_754;
 
-/** The stand-in engine's own times, with memory for twenty typical requests. */
+/** Stand-in engine with its default times and memory for twenty typical requests. */
 export const deskEngine: EngineProfile = {
   slotCount,
   kvBytesPerToken,
-  capacityKvBytes: slotCount * typicalTokens * kvBytesPerToken,
+  capacityKvBytes: slotCount * typicalRequestTokens * kvBytesPerToken,
   stepBaseMs: 9,
   stepPerStreamMs: 0.1,
   prefillBaseMs: 20,
--- a/packages/bench/src/fleet/fleetDescription.ts
+++ b/packages/bench/src/fleet/fleetDescription.ts
@@ -1,9 +1,9 @@
-/** What a fleet consists of: the documents of an institution and the backend servers behind them. */
+/** Describes a fleet: the service documents of an institution and the backend servers of each service. */
 import { readdir, readFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { parse } from 'yaml';
 import { serviceDocumentSchema, type ServiceDocument } from '@bluebellhitch/document';
-import type { EngineProfile, ServiceFile } from './fleetParts';
+import type { EngineProfile, ServiceFile } from './fleetTypes';
 import { scaleEngine, scaleService } from './timeScale';
 
 export type WorkerCounts = Partial<Record<'prefill' | 'decode' | 'both' | 'plain', number>>;
@@ -26,8 +26,8 @@
 export const institutionNames = { halloranVoss: 'halloran-voss', sahlat: 'sahlat' } as const;
 export type InstitutionName = (typeof institutionNames)[keyof typeof institutionNames];
 
-/** Workers that each institution runs today. */
-const todaysWorkers: Record<string, WorkerCounts> = {
+/** Worker counts that the institutions run in production, by service. */
+const productionWorkers: Record<string, WorkerCounts> = {
   'draft-models': { prefill: 5, decode: 8 },
   'counter-app': { plain: 3 },
   'tread-scribe': { prefill: 2, decode: 4 },
@@ -35,19 +35,19 @@
 };
 
 export interface DescribeFleetOptions {
-  /** Directory with one directory of documents an institution. */
+  /** Directory with one subdirectory of documents for each institution. */
   examplesDirectory: string;
   institution: InstitutionName;
   engine: EngineProfile;
-  /** Stretches all times, see `timeScale.ts`. */
+  /** Factor for all times, see `timeScale.ts`; 1 by default. */
   timeScale?: number;
-  /** By service, in place of today's counts; services without workers are left out. */
+  /** Worker counts by service in place of those of production; services that are absent are left out. */
   workers?: Record<string, WorkerCounts>;
 }
 
-/** Reads an institution's documents and lists the backend servers to start for them. */
+/** Reads an institution's documents and lists the backend servers to start for them. Throws on invalid documents. */
 export async function describeFleet(options: DescribeFleetOptions): Promise<FleetDescription> {
-  const { examplesDirectory, institution, timeScale = 1, workers = todaysWorkers } = options;
+  const { examplesDirectory, institution, timeScale = 1, workers = productionWorkers } = options;
   const files = await readServiceFiles(join(examplesDirectory, institution));
   const services = files
     .filter(({ document }) => workers[document.service] !== undefined)
@@ -58,7 +58,7 @@
     engine: scaleEngine(options.engine, timeScale),
     dataCentres: services[0]?.document.dataCentres ?? [],
     backends: services.flatMap(({ document }) =>
-      backendsOf(document, workers[document.service] ?? {}),
+      listBackends(document, workers[document.service] ?? {}),
     ),
   };
 }
@@ -73,7 +73,7 @@
   );
 }
 
-function backendsOf(document: ServiceDocument, counts: WorkerCounts): BackendDescription[] {
+function listBackends(document: ServiceDocument, counts: WorkerCounts): BackendDescription[] {
   const { service, dataCentres } = document;
   return Object.entries(counts)
     .flatMap(([role, count]) => Array.from({ length: count }, (_, index) => ({ role, index })))
@@ -85,7 +85,7 @@
     }));
 }
 
-/** The one model service of a fleet. */
+/** Document of the fleet's model service; throws if there is none. */
 export function modelDocumentOf({ services }: FleetDescription): ServiceDocument {
   const found = services.find(({ document }) => document.kind === 'model');
   if (found === undefined) {
@@ -94,7 +94,7 @@
   return found.document;
 }
 
-/** Name of the model that the engines of a service run. */
+/** Name of the model that the engines of a service run; throws if the document has none. */
 export function engineModelOf(document: ServiceDocument): string {
   const [model] = document.models;
   if (model === undefined) {
--- a/packages/bench/src/fleet/startFleet.ts
+++ b/packages/bench/src/fleet/startFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Starts a fleet of the real binaries with stand-ins around them, and stops it: entries first, the
- * platform last. A fleet that fails to start leaves nothing behind.
+ * Starts a fleet of real entries and agents with stand-ins for engines, plain services and the platform, and stops
+ * it: entries first, the platform last. If the start fails, all processes are killed.
  */
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
 import {
@@ -19,25 +19,25 @@
   removeInstance,
 } from './controlCalls';
 import type { BackendDescription, FleetDescription } from './fleetDescription';
-import type { EngineProfile } from './fleetParts';
+import type { EngineProfile } from './fleetTypes';
 
 export interface StartFleetOptions extends StartBinaryOptions {
   description: FleetDescription;
-  /** Sets of entries beside the same agents; one an experiment's policy. */
+  /** Groups of entries that share the same agents; experiments use one group per policy. */
   entryGroups: EntryGroup[];
-  /** Callers' port and admin port of the first entry; the next entries and the agents follow. */
+  /** Callers' and admin port of the first entry; the other entries and the agents get the following ports. */
   firstPorts?: { entryPort: number; adminPort: number };
-  /** Sees each process once it listens. */
+  /** Called for each process once it listens. */
   onStarted?: (started: RunningBinary) => void;
-  /** Sees each process that ends before the fleet is stopped. */
+  /** Called for each process that ends before the fleet is stopped, with its signal or exit code. */
   onEnded?: (name: string, cause: string) => void;
 }
 
 export interface EntryGroup {
-  /** Part of its entries' ids, unless it is empty. */
+  /** Included in the ids of its entries unless empty. */
   name: string;
   count: number;
-  /** Beside the settings that every entry needs. */
+  /** Added to the settings that every entry needs. */
   settings: Record<string, string | number | undefined>;
 }
 
@@ -49,30 +49,30 @@
 
 export interface FleetBackend {
   description: BackendDescription;
-  /** Of the engine or the plain service. */
+  /** Address of the engine or the plain service. */
   address: string;
   agentAdminAddress: string;
-  /** Kills the backend server and its agent, as the loss of their instance does. */
+  /** Kills the backend server and its agent, like the loss of their instance. */
   kill(): void;
 }
 
 export interface Fleet {
   platformUrl: string;
   entries: FleetEntry[];
-  /** The present processes; a backend that was replaced appears with its new addresses. */
+  /** The current backends; one that was replaced has its new addresses. */
   backends(): FleetBackend[];
-  /** Starts a killed backend anew under the same id; resolves once it is ready and listed. */
+  /** Restarts a killed backend under the same id; resolves once it is listed and its agent is ready. */
   replaceBackend(id: string): Promise<void>;
   /** Resolves with the names of the processes that did not stop gracefully. */
   stop(): Promise<string[]>;
-  /** Ends every process at once. */
+  /** Kills all processes immediately. */
   kill(): void;
 }
 
 const host = '127.0.0.1';
 const instanceLagMs = 500;
-const readyBoundMs = 60_000;
-const pollMs = 50;
+const readyTimeoutMs = 60_000;
+const pollIntervalMs = 50;
 
 type Stage = 'platform' | 'backends' | 'agents' | 'entries';
 const stopOrder: readonly Stage[] = ['entries', 'agents', 'backends', 'platform'];
@@ -81,7 +81,7 @@
 export async function startFleet(options: StartFleetOptions): Promise<Fleet> {
   const { description, entryGroups, firstPorts, onStarted, onEnded } = options;
   const entryCount = entryGroups.reduce((sum, { count }) => sum + count, 0);
-  const portFrom = (first: number | undefined, index: number) => (first ? first + index : 0);
+  const resolvePort = (first: number | undefined, index: number) => (first ? first + index : 0);
   let isStopping = false;
   const started: Record<Stage, RunningBinary[]> = {
     platform: [],
@@ -105,15 +105,15 @@
     adminPort = 0,
   ): Promise<void> {
     const server = await launch('backends', backendSpec(backend, description.engine));
-    const address = addressOf(server, 'address');
+    const address = requireAddress(server, 'address');
     const agent = await launch('agents', agentSpec(backend, address, platformUrl, adminPort));
-    const agentAdminAddress = addressOf(agent, 'adminAddress');
+    const agentAdminAddress = requireAddress(agent, 'adminAddress');
     await registerInstance(platformUrl, backend.id, {
       kind: 'agent',
       service: backend.document.service,
       role: backend.role,
       dataCentre: backend.dataCentre,
-      innerAddress: addressOf(agent, 'innerAddress'),
+      innerAddress: requireAddress(agent, 'innerAddress'),
       adminAddress: agentAdminAddress,
     });
     await waitUntilReady(backend.id, agentAdminAddress);
@@ -134,31 +134,35 @@
     const { dataCentres } = description;
     const dataCentre = dataCentres[index % dataCentres.length] ?? 'unknown';
     const instanceId = ['entry', group.name, index + 1].filter((part) => part !== '').join('-');
-    const entryPort = portFrom(firstPorts?.entryPort, position);
-    const adminPort = portFrom(firstPorts?.adminPort, position);
+    const entryPort = resolvePort(firstPorts?.entryPort, position);
+    const adminPort = resolvePort(firstPorts?.adminPort, position);
     const ports = { entryPort, innerPort: 0, adminPort };
     const settings = { ...ports, ...group.settings, instanceId, dataCentre, platformUrl };
     const entry = await launch('entries', { name: instanceId, binary: 'bluebell-entry', settings });
-    const adminAddress = addressOf(entry, 'adminAddress');
+    const adminAddress = requireAddress(entry, 'adminAddress');
     await registerInstance(platformUrl, instanceId, {
       kind: 'entry',
       dataCentre,
-      innerAddress: addressOf(entry, 'innerAddress'),
+      innerAddress: requireAddress(entry, 'innerAddress'),
       adminAddress,
     });
-    return { group: group.name, callerAddress: addressOf(entry, 'callersAddress'), adminAddress };
+    return {
+      group: group.name,
+      callerAddress: requireAddress(entry, 'callersAddress'),
+      adminAddress,
+    };
   }
 
   async function launchAll(): Promise<Pick<Fleet, 'platformUrl' | 'entries'>> {
     const platform = await launch('platform', platformSpec());
-    const platformUrl = addressOf(platform, 'address');
+    const platformUrl = requireAddress(platform, 'address');
     const { services } = description;
     await Promise.all(
       services.map(({ document, text }) => applyDocument(platformUrl, document.service, text)),
     );
     await settleAll(
       description.backends.map((backend, index) =>
-        launchBackend(platformUrl, backend, portFrom(firstPorts?.adminPort, entryCount + index)),
+        launchBackend(platformUrl, backend, resolvePort(firstPorts?.adminPort, entryCount + index)),
       ),
     );
     await waitUntilListed(platformUrl, description.backends);
@@ -174,13 +178,13 @@
   async function stop(platformUrl: string): Promise<string[]> {
     isStopping = true;
     await Promise.allSettled(started.entries.map(({ name }) => markLeaving(platformUrl, name)));
-    const cutOff: string[] = [];
+    const ungraceful: string[] = [];
     for (const stage of stopOrder) {
       const running = started[stage].filter((process) => process.isRunning());
       const areGraceful = await Promise.all(running.map((process) => process.stop()));
-      cutOff.push(...running.filter((_, index) => !areGraceful[index]).map(({ name }) => name));
+      ungraceful.push(...running.filter((_, index) => !areGraceful[index]).map(({ name }) => name));
     }
-    return cutOff;
+    return ungraceful;
   }
 
   function kill(): void {
@@ -196,7 +200,7 @@
       throw new Error(`the fleet has no backend ${id}`);
     }
     await removeInstance(platformUrl, id);
-    // The entries shall see the instance vanish, and not only its address change.
+    // Entries must see the instance disappear from the list, not only its address change.
     await delay(2 * instanceLagMs);
     await launchBackend(platformUrl, backend.description);
   }
@@ -216,16 +220,16 @@
   }
 }
 
-/** Waits for all, also behind a failure, so that the caller knows of every process to stop. */
+/** Waits for all promises even if one rejects, so that the caller knows every process that it must stop. */
 async function settleAll<Value>(promises: Promise<Value>[]): Promise<Value[]> {
   await Promise.allSettled(promises);
   return Promise.all(promises);
 }
 
-function addressOf({ name, addresses }: RunningBinary, field: string): string {
+function requireAddress({ name, addresses }: RunningBinary, field: string): string {
   const address = addresses[field];
   if (address === undefined) {
-    throw new Error(`${name} tells no ${field}`);
+    throw new Error(`${name} did not log its ${field}`);
   }
   return address;
 }
@@ -234,7 +238,7 @@
   return { name: 'platform', binary: 'standin-platform', settings: { host, instanceLagMs } };
 }
 
-/** A backend server without its agent. */
+/** Spec of a backend server; its agent is separate. */
 export function backendSpec(
   { id, document, role }: BackendDescription,
   engine: EngineProfile,
@@ -272,7 +276,7 @@
   });
 }
 
-/** An entry that starts after this knows every agent from its first look at the list. */
+/** Entries start after this, so that each finds all agents the first time it reads the list. */
 function waitUntilListed(platformUrl: string, backends: BackendDescription[]): Promise<void> {
   return waitFor('the platform does not list all agents', async () => {
     const listed = (await listInstances(platformUrl)) as { id: string }[];
@@ -280,24 +284,24 @@
   });
 }
 
-/** An entry serves once it is ready and every document is in force there. */
+/** An entry serves once it is ready and all documents are active there. */
 async function waitUntilServing(entry: FleetEntry, { services }: FleetDescription): Promise<void> {
   await waitUntilReady(entry.callerAddress, entry.adminAddress);
   await waitFor(`${entry.callerAddress} does not offer the services`, async () => {
-    const inForce = (await readJson(`${entry.adminAddress}/debug/services`)) as {
+    const activeServices = (await readJson(`${entry.adminAddress}/debug/services`)) as {
       document: { service: string };
     }[];
-    const names = inForce.map(({ document }) => document.service);
+    const names = activeServices.map(({ document }) => document.service);
     return services.every(({ document }) => names.includes(document.service));
   });
 }
 
-async function waitFor(problem: string, isDone: () => Promise<boolean>): Promise<void> {
-  const giveUpAtMs = monotonicNowMs() + readyBoundMs;
+async function waitFor(timeoutMessage: string, isDone: () => Promise<boolean>): Promise<void> {
+  const deadlineMs = monotonicNowMs() + readyTimeoutMs;
   while (!(await isDone().catch(() => false))) {
-    if (monotonicNowMs() > giveUpAtMs) {
-      throw new Error(problem);
+    if (monotonicNowMs() > deadlineMs) {
+      throw new Error(timeoutMessage);
     }
-    await delay(pollMs);
+    await delay(pollIntervalMs);
   }
 }
--- a/packages/bench/src/fleet/timeScale.ts
+++ b/packages/bench/src/fleet/timeScale.ts
@@ -1,12 +1,12 @@
 /**
- * Slows a fleet down without changing what its policies face: engines, links, targets and rates are
- * stretched alike. A machine that is too slow for the users' own times can then run the same experiment.
+ * Slows a fleet down without changing the conditions for its policies: engine times, link rates, targets and
+ * request rates are scaled alike. A machine that is too slow for the real times can then run the same experiment.
  */
 import { stringify } from 'yaml';
 import { serviceDocumentSchema } from '@bluebellhitch/document';
-import type { EngineProfile, ServiceFile } from './fleetParts';
+import type { EngineProfile, ServiceFile } from './fleetTypes';
 
-/** All durations times `factor`, all rates through it. */
+/** Multiplies the durations by `factor` and divides the link rate by it. */
 export function scaleEngine(engine: EngineProfile, factor: number): EngineProfile {
   return {
     ...engine,
@@ -19,7 +19,7 @@
   };
 }
 
-/** Targets and bounds of a document's requests times `factor`, rates of its classes through it. */
+/** Multiplies a document's targets and timeouts by `factor` and divides the request rates of its classes by it. */
 export function scaleService(file: ServiceFile, factor: number): ServiceFile {
   if (factor === 1 || file.document.kind === 'plain') {
     return file;
@@ -32,7 +32,7 @@
       betweenTokensMs: targets.betweenTokensMs * factor,
     },
     limits: { ...limits, requestTimeoutMs: limits.requestTimeoutMs * factor },
-    // Never shorter than the longest request.
+    // The document check requires a drain bound of at least the request timeout.
     drain: { ...drain, boundMs: drain.boundMs * factor },
     classes: classes.map((trafficClass) => ({
       ...trafficClass,
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,4 +1,9 @@
-export { accountGoodput, judge, type GoodputAccount, type Verdict } from './accounting/goodput';
+export {
+  summarizeGoodput,
+  evaluateResponse,
+  type GoodputSummary,
+  type Verdict,
+} from './accounting/goodput';
 export { describeFleet, type FleetDescription } from './fleet/fleetDescription';
 export { startFleet, type Fleet, type StartFleetOptions } from './fleet/startFleet';
 export { runOpenLoop, type OpenLoopOptions, type OpenLoopResult } from './load/openLoop';
