--- a/packages/bench/src/load/callerStream.ts
+++ b/packages/bench/src/load/callerClient.ts
@@ -1,9 +1,9 @@
-/** Sends model requests and plain calls to an entry as callers do, and times their answers. */
+/** Sends model requests and plain calls to an entry as callers do, and measures the times of the responses. */
 import { callerHeaders } from '@bluebellhitch/protocol';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import { request, type Dispatcher } from 'undici';
 import type { ModelArrival, PlainArrival } from '../traffic/trace';
-import type { AnswerEnd, ModelAnswer, PlainAnswer } from './answers';
+import type { ResponseEnd, ModelResponse, PlainResponse } from './responses';
 import { readEvents, type StreamEvent } from './eventReader';
 import { createStreamTiming, type StreamTiming } from './streamTiming';
 
@@ -14,7 +14,7 @@
   institution: string;
   /** Makes idempotency keys of this run differ from those of earlier runs of the same trace. */
   keyPrefix: string;
-  /** Bound of the whole answer. */
+  /** Timeout of the complete response. */
   timeoutMs: number;
 }
 
@@ -30,35 +30,35 @@
 
 const doneMarker = '[DONE]';
 
-/** Never rejects: whatever went wrong is the answer's end. */
-export async function callModel(options: ModelCallOptions): Promise<ModelAnswer> {
+/** Sends a model request and reads its stream. Never rejects: failures are reported in `end`. */
+export async function callModel(options: ModelCallOptions): Promise<ModelResponse> {
   const { arrival } = options;
   const timing = createStreamTiming();
-  const leave = new AbortController();
+  const controller = new AbortController();
   const timers = [
-    setTimeout(() => leave.abort('timeout'), options.timeoutMs),
+    setTimeout(() => controller.abort('timeout'), options.timeoutMs),
     ...(arrival.cancelAfterMs === undefined
       ? []
-      : [setTimeout(() => leave.abort('cancelled'), arrival.cancelAfterMs)]),
+      : [setTimeout(() => controller.abort('cancelled'), arrival.cancelAfterMs)]),
   ];
-  const end = await readModelAnswer(options, timing, leave.signal).catch((error: unknown) =>
-    endOfFailure(error, leave.signal, timing.read().firstTokenMs !== undefined),
+  const end = await readModelResponse(options, timing, controller.signal).catch((error: unknown) =>
+    classifyFailure(error, controller.signal, timing.read().firstTokenMs !== undefined),
   );
   timers.forEach((timer) => clearTimeout(timer));
   return { arrival, end, ...timing.read() };
 }
 
-async function readModelAnswer(
+async function readModelResponse(
   options: ModelCallOptions,
   timing: StreamTiming,
   signal: AbortSignal,
-): Promise<AnswerEnd> {
+): Promise<ResponseEnd> {
   const { arrival, callerAddress, dispatcher, model } = options;
   const response = await request(`${callerAddress}/v1/completions`, {
     dispatcher,
     signal,
     method: 'POST',
-    headers: headersOf(options, arrival),
+    headers: buildHeaders(options, arrival),
     body: JSON.stringify({
       model,
       prompt: arrival.prompt,
@@ -68,67 +68,70 @@
   });
   response.body.setEncoding('utf8');
   if (response.statusCode !== 200) {
-    return refusalOf(response.statusCode, await response.body.text());
+    return parseRefusal(response.statusCode, await response.body.text());
   }
-  let end: AnswerEnd = { kind: 'incomplete', reason: 'no end marker' };
+  let end: ResponseEnd = { kind: 'incomplete', reason: 'no end marker' };
   for await (const event of readEvents(response.body as AsyncIterable<string>)) {
-    end = takeEvent(event, timing) ?? end;
+    end = handleEvent(event, timing) ?? end;
   }
   return end;
 }
 
-/** Returns the answer's end where the event is its last one. */
-function takeEvent({ name, data }: StreamEvent, timing: StreamTiming): AnswerEnd | undefined {
+/** Returns how the response ended if the event is its last one. */
+function handleEvent({ name, data }: StreamEvent, timing: StreamTiming): ResponseEnd | undefined {
   if (data === doneMarker) {
     return { kind: 'complete' };
   }
   if (name === 'error') {
-    return { kind: 'incomplete', reason: reasonOf(data) };
+    return { kind: 'incomplete', reason: parseErrorReason(data) };
   }
   const chunk = JSON.parse(data) as { choices?: { text?: string }[] };
   const text = chunk.choices?.[0]?.text;
   if (text !== undefined && text !== '') {
-    timing.token(text);
+    timing.recordToken(text);
   }
   return undefined;
 }
 
-export async function callPlain(options: PlainCallOptions): Promise<PlainAnswer> {
+export async function callPlain(options: PlainCallOptions): Promise<PlainResponse> {
   const { arrival, callerAddress, dispatcher } = options;
   const startedAtMs = monotonicNowMs();
   let text = '';
-  let end: AnswerEnd;
+  let end: ResponseEnd;
   try {
     const response = await request(`${callerAddress}${arrival.path}`, {
       dispatcher,
       method: arrival.method,
       signal: AbortSignal.timeout(options.timeoutMs),
-      headers: headersOf(options, { ...arrival, noRepeat: false }),
+      headers: buildHeaders(options, { ...arrival, noRepeat: false }),
       body: arrival.body,
     });
     text = await response.body.text();
-    end = response.statusCode < 300 ? { kind: 'complete' } : refusalOf(response.statusCode, text);
+    end =
+      response.statusCode < 300 ? { kind: 'complete' } : parseRefusal(response.statusCode, text);
   } catch (error) {
-    end = { kind: 'connection-failed', reason: codeOf(error) };
+    end = { kind: 'connection-failed', reason: resolveErrorCode(error) };
   }
   return { arrival, end, text, endMs: monotonicNowMs() - startedAtMs };
 }
 
-function headersOf(
+function buildHeaders(
   { institution, keyPrefix }: CallOptions,
-  arrival: { id: string; className: string; noRepeat: boolean; keyed?: boolean },
+  arrival: { id: string; className: string; noRepeat: boolean; hasIdempotencyKey?: boolean },
 ): Record<string, string> {
-  const isKeyed = arrival.noRepeat || arrival.keyed === true;
+  const needsIdempotencyKey = arrival.noRepeat || arrival.hasIdempotencyKey === true;
   return {
     'content-type': 'application/json',
     [callerHeaders.institution]: institution,
     [callerHeaders.className]: arrival.className,
-    ...(isKeyed ? { [callerHeaders.idempotencyKey]: `${keyPrefix}-${arrival.id}` } : {}),
+    ...(needsIdempotencyKey
+      ? { [callerHeaders.idempotencyKey]: `${keyPrefix}-${arrival.id}` }
+      : {}),
     ...(arrival.noRepeat ? { [callerHeaders.noRepeat]: 'true' } : {}),
   };
 }
 
-function refusalOf(status: number, body: string): AnswerEnd {
+function parseRefusal(status: number, body: string): ResponseEnd {
   const problem = parseObject(body);
   const notRun = problem.notRun as boolean | 'unknown' | undefined;
   const reason = typeof problem.reason === 'string' ? problem.reason : `status-${status}`;
@@ -136,7 +139,7 @@
   return { kind: 'refused', status, reason, notRun: notRun ?? 'unknown', detail };
 }
 
-function reasonOf(data: string): string {
+function parseErrorReason(data: string): string {
   const { error } = parseObject(data) as { error?: { reason?: string } };
   return error?.reason ?? 'error event';
 }
@@ -149,15 +152,15 @@
   }
 }
 
-function endOfFailure(error: unknown, signal: AbortSignal, hasOutput: boolean): AnswerEnd {
+function classifyFailure(error: unknown, signal: AbortSignal, hasOutput: boolean): ResponseEnd {
   if (signal.aborted && signal.reason === 'cancelled') {
     return { kind: 'cancelled' };
   }
-  const reason = signal.aborted ? 'timeout' : codeOf(error);
+  const reason = signal.aborted ? 'timeout' : resolveErrorCode(error);
   return hasOutput ? { kind: 'incomplete', reason } : { kind: 'connection-failed', reason };
 }
 
-function codeOf(error: unknown): string {
+function resolveErrorCode(error: unknown): string {
   const { code, name } = Object(error) as { code?: string; name?: string };
   return code ?? name ?? 'unknown';
 }
--- a/packages/bench/src/load/engineStream.ts
+++ b/packages/bench/src/load/engineClient.ts
@@ -1,4 +1,4 @@
-/** Asks a stand-in engine directly for a decode: what the same answer costs without the system. */
+/** Calls a stand-in engine directly, to measure the same response without entry and agent. */
 import { randomUUID } from 'node:crypto';
 import { enginePaths } from '@bluebellhitch/engine';
 import { request, type Dispatcher } from 'undici';
@@ -14,13 +14,13 @@
   maxOutputTokens: number;
 }
 
-export interface DirectAnswer extends StreamTimes {
+export interface EngineResponse extends StreamTimes {
   isComplete: boolean;
 }
 
-const usualPriority = 5;
+const defaultPriority = 5;
 
-export async function streamFromEngine(options: EngineStreamOptions): Promise<DirectAnswer> {
+export async function streamFromEngine(options: EngineStreamOptions): Promise<EngineResponse> {
   const { dispatcher, address, model, prompt, maxOutputTokens } = options;
   const timing = createStreamTiming();
   const response = await request(`${address}${enginePaths.decode}`, {
@@ -33,7 +33,7 @@
       prompt,
       imported: false,
       maxOutputTokens,
-      priority: usualPriority,
+      priority: defaultPriority,
     }),
   });
   let isComplete = false;
@@ -42,7 +42,7 @@
     const chunk = JSON.parse(data) as { kind: string; text?: string };
     isComplete ||= chunk.kind === 'end';
     if (chunk.text !== undefined) {
-      timing.token(chunk.text);
+      timing.recordToken(chunk.text);
     }
   }
   return { ...timing.read(), isComplete };
--- a/packages/bench/src/load/eventReader.ts
+++ b/packages/bench/src/load/eventReader.ts
@@ -1,7 +1,7 @@
-/** Splits an event stream into the data of its events, with little work for each one. */
+/** Splits a stream of server-sent events into its events, with a fast path for events of one `data` line. */
 
 export interface StreamEvent {
-  /** `message` where the stream names none. */
+  /** `message` if the stream does not name the event. */
   name: string;
   data: string;
 }
@@ -9,7 +9,7 @@
 const eventEnd = '\n\n';
 const defaultName = 'message';
 
-/** Creates a function that takes pieces of the stream and returns the events that they complete. */
+/** Creates a function that takes the next piece of the stream and returns the events that it completes. */
 export function createEventReader(): (piece: string) => StreamEvent[] {
   let rest = '';
   return (piece) => {
@@ -19,7 +19,7 @@
   };
 }
 
-/** The events of a response's body, which must be decoded as text. */
+/** Reads the events of a response body, which must be decoded as text already. */
 export async function* readEvents(body: AsyncIterable<string>): AsyncGenerator<StreamEvent> {
   const read = createEventReader();
   for await (const piece of body) {
--- a/packages/bench/src/load/openLoop.ts
+++ b/packages/bench/src/load/openLoop.ts
@@ -1,37 +1,37 @@
 /**
- * Sends a trace's requests at their times, whatever becomes of earlier ones, to entries in turn, and
- * collects all answers. Tells how late it was itself, so that a slow bench is not taken for a slow
- * system.
+ * Sends the requests of a trace in an open loop: each at its arrival time, whether or not earlier ones have finished,
+ * and to the entries in turn. Also reports how late the generator itself was, so that a slow generator is not mistaken
+ * for a slow system.
  */
 import { monitorEventLoopDelay } from 'node:perf_hooks';
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
 import { Agent, type Dispatcher } from 'undici';
 import type { Arrival } from '../traffic/trace';
-import type { Answer } from './answers';
-import { callModel, callPlain } from './callerStream';
+import type { CallerResponse } from './responses';
+import { callModel, callPlain } from './callerClient';
 
 export interface OpenLoopOptions {
   trace: readonly Arrival[];
   callerAddresses: readonly string[];
-  /** Service that model requests name. */
+  /** Name of the model service. */
   model: string;
   institution: string;
   /** Makes idempotency keys of this run differ from those of earlier runs of the same trace. */
   keyPrefix: string;
-  /** Bound of each answer. */
+  /** Timeout of each response. */
   timeoutMs: number;
 }
 
 export interface OpenLoopResult {
-  answers: Answer[];
-  tool: ToolHealth;
+  responses: CallerResponse[];
+  tool: GeneratorHealth;
 }
 
-/** How well the bench itself kept up. */
-export interface ToolHealth {
-  /** Latest sending of a request behind its time. */
+/** How well the load generator itself kept up. */
+export interface GeneratorHealth {
+  /** Largest delay between a request's arrival time and its sending. */
   maxSendLagMs: number;
-  /** 99th percentile of the delay of the bench's own event loop. */
+  /** 99th percentile of the delay of the generator's event loop. */
   eventLoopDelayP99Ms: number;
 }
 
@@ -43,7 +43,7 @@
   const loopDelay = monitorEventLoopDelay({ resolution: delayResolutionMs });
   loopDelay.enable();
   const startedAtMs = monotonicNowMs();
-  const running: Promise<Answer>[] = [];
+  const pending: Promise<CallerResponse>[] = [];
   let maxSendLagMs = 0;
   for (const [index, arrival] of options.trace.entries()) {
     const waitMs = startedAtMs + arrival.atMs - monotonicNowMs();
@@ -51,20 +51,20 @@
       await delay(waitMs);
     }
     maxSendLagMs = Math.max(maxSendLagMs, monotonicNowMs() - startedAtMs - arrival.atMs);
-    running.push(send(options, dispatcher, arrival, index));
+    pending.push(sendRequest(options, dispatcher, arrival, index));
   }
-  const answers = await Promise.all(running);
+  const responses = await Promise.all(pending);
   loopDelay.disable();
   await dispatcher.destroy();
-  // The monitor counts its own interval as part of each delay.
+  // The monitor includes its sampling interval in each delay.
   const eventLoopDelayP99Ms = Math.max(0, loopDelay.percentile(99) / nsPerMs - delayResolutionMs);
-  return { answers, tool: { maxSendLagMs, eventLoopDelayP99Ms } };
+  return { responses, tool: { maxSendLagMs, eventLoopDelayP99Ms } };
 }
 
-/** Shorter than any server's, so that no request meets a connection that is just being closed. */
+/** Shorter than that of any server, so that no request is sent on a connection that the server is closing. */
 const keepAliveMs = 1_000;
 
-/** A dispatcher that never queues a request behind another one. */
+/** Creates a dispatcher that never queues a request behind another one. */
 export function createDispatcher(): Agent {
   return new Agent({
     connections: null,
@@ -76,12 +76,12 @@
   });
 }
 
-function send(
+function sendRequest(
   options: OpenLoopOptions,
   dispatcher: Dispatcher,
   arrival: Arrival,
   index: number,
-): Promise<Answer> {
+): Promise<CallerResponse> {
   const { callerAddresses, institution, keyPrefix, model, timeoutMs } = options;
   const callerAddress = callerAddresses[index % callerAddresses.length] ?? '';
   const call = { dispatcher, callerAddress, institution, keyPrefix, timeoutMs };
--- a/packages/bench/src/load/streamTiming.ts
+++ b/packages/bench/src/load/streamTiming.ts
@@ -1,13 +1,13 @@
-/** Takes the times of one streamed answer. */
+/** Measures the times of one streamed response. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
 export interface StreamTiming {
-  /** Call with each piece of text, at the time it arrives. */
-  token(text: string): void;
+  /** Records a chunk of text; call it when the chunk arrives. */
+  recordToken(text: string): void;
   read(): StreamTimes;
 }
 
-/** Milliseconds from the start of the timing. */
+/** Times in milliseconds from the start of the measurement. */
 export interface StreamTimes {
   text: string;
   firstTokenMs?: number;
@@ -22,7 +22,7 @@
   let firstTokenMs: number | undefined;
   let lastTokenMs: number | undefined;
   return {
-    token: (text) => {
+    recordToken: (text) => {
       const nowMs = monotonicNowMs() - startedAtMs;
       if (lastTokenMs !== undefined) {
         gapsMs.push(nowMs - lastTokenMs);
--- a/packages/bench/src/report/goodputReport.ts
+++ b/packages/bench/src/report/goodputReport.ts
@@ -1,8 +1,8 @@
-/** The tables of the goodput experiment: medians over the seeds, with the least and the greatest. */
-import { medianOf } from '../accounting/quantiles';
+/** Tables of the goodput experiment: medians over the seeds, with minimum and maximum. */
+import { computeMedian } from '../accounting/quantiles';
 import {
-  scenarioName,
-  scenariosOf,
+  formatScenario,
+  listScenarios,
   type GoodputCell,
   type GoodputFigures,
   type PolicyName,
@@ -25,37 +25,37 @@
   'refused or broken, a cell',
 ];
 
-/** A bench that is later than this is short of processor time, and so is the fleet. */
-const fitLoopDelayMs = 10;
+/** If the event loop of the generator is later than this, generator and fleet lack processor time. */
+const maxLoopDelayMs = 10;
 
 export function renderGoodput(figures: GoodputFigures): string {
   const { options, machine } = figures;
   return [
     describeMachine(machine.before, machine.after),
-    `All times and targets stretched by ${options.timeScale}; ${options.seconds} s a cell behind a warm-up, seeds ${options.seeds.join(', ')}, ${options.entryCount} entries a policy. Median (least to greatest) over the seeds.`,
+    `All times and targets scaled by ${options.timeScale}; ${options.seconds} s per cell after a warm-up, seeds ${options.seeds.join(', ')}, ${options.entryCount} entries per policy. Median (minimum to maximum) over the seeds.`,
     ...options.institutions.flatMap((institution) => renderInstitution(figures, institution)),
     '',
-    toolLine(figures.cells),
+    renderGeneratorHealth(figures.cells),
   ].join('\n');
 }
 
 function renderInstitution(figures: GoodputFigures, institution: InstitutionName): string[] {
-  const rows = scenariosOf(figures.options).flatMap((scenario) =>
+  const rows = listScenarios(figures.options).flatMap((scenario) =>
     figures.options.policies.map((policy) =>
-      renderRow(scenario, policy, cellsOf(figures, institution, scenario, policy)),
+      renderRow(scenario, policy, selectCells(figures, institution, scenario, policy)),
     ),
   );
   return [
     '',
     `### ${institution}`,
     '',
-    capacityLine(figures, institution),
+    renderCapacity(figures, institution),
     '',
     renderTable(headers, rows),
   ];
 }
 
-function cellsOf(
+function selectCells(
   { cells }: GoodputFigures,
   institution: InstitutionName,
   scenario: Scenario,
@@ -70,14 +70,14 @@
   );
 }
 
-function capacityLine({ capacities }: GoodputFigures, institution: InstitutionName): string {
+function renderCapacity({ capacities }: GoodputFigures, institution: InstitutionName): string {
   const capacity = capacities[institution];
   if (capacity === undefined) {
     return 'capacity unknown';
   }
   const rate = (value: number) => value.toFixed(1);
   return [
-    `Capacity ${rate(capacity.requestsPerSecond)} requests/s, the least of decode slots ${rate(capacity.decodeSlotsPerSecond)},`,
+    `Capacity ${rate(capacity.requestsPerSecond)} requests/s, the minimum of decode slots ${rate(capacity.decodeSlotsPerSecond)},`,
     `decode memory ${rate(capacity.decodeMemoryPerSecond)} and prefill ${rate(capacity.prefillPerSecond)}`,
     `(${formatPercent(capacity.reusableRatio)} of prompt tokens reusable); mean prompt ${capacity.meanPromptTokens.toFixed(0)}`,
     `and output ${capacity.meanOutputTokens.toFixed(0)} tokens.`,
@@ -86,33 +86,33 @@
 
 function renderRow(scenario: Scenario, policy: PolicyName, cells: GoodputCell[]): string[] {
   const results = cells.map(({ result }) => result);
-  const accounts = results.map(({ goodput }) => goodput);
-  const median = (values: number[]) => formatMs(medianOf(values));
+  const summaries = results.map(({ goodput }) => goodput);
+  const median = (values: number[]) => formatMs(computeMedian(values));
   const firstTokens = [
-    median(accounts.map(({ firstTokenMs }) => firstTokenMs.p50)),
-    median(accounts.map(({ firstTokenMs }) => firstTokenMs.p95)),
+    median(summaries.map(({ firstTokenMs }) => firstTokenMs.p50)),
+    median(summaries.map(({ firstTokenMs }) => firstTokenMs.p95)),
   ];
   return [
-    scenarioName(scenario),
+    formatScenario(scenario),
     policy,
-    spread(accounts.map(({ goodput }) => goodput)),
-    spread(accounts.map(({ goodputByMeanGap }) => goodputByMeanGap)),
-    spread(results.map(({ wastedRatio }) => wastedRatio)),
+    formatSpread(summaries.map(({ goodput }) => goodput)),
+    formatSpread(summaries.map(({ goodputByMeanGap }) => goodputByMeanGap)),
+    formatSpread(results.map(({ wastedRatio }) => wastedRatio)),
     firstTokens.join(' / '),
-    median(accounts.map(({ betweenTokensMs }) => betweenTokensMs.p95)),
+    median(summaries.map(({ betweenTokensMs }) => betweenTokensMs.p95)),
     formatPercent(
-      medianOf(accounts.map(({ plain }) => plain.complete / Math.max(1, plain.offered))),
+      computeMedian(summaries.map(({ plain }) => plain.complete / Math.max(1, plain.offered))),
     ),
     String(
-      accounts.reduce((sum, { verdicts, plain }) => sum + (verdicts.wrong ?? 0) + plain.wrong, 0),
+      summaries.reduce((sum, { verdicts, plain }) => sum + (verdicts.wrong ?? 0) + plain.wrong, 0),
     ),
-    formatCounts(meanCounts(accounts.map(({ refusals }) => refusals))),
+    formatCounts(meanCounts(summaries.map(({ refusals }) => refusals))),
   ];
 }
 
-function spread(shares: number[]): string {
+function formatSpread(shares: number[]): string {
   const range = `${formatPercent(Math.min(...shares))} to ${formatPercent(Math.max(...shares))}`;
-  return shares.length === 0 ? '-' : `${formatPercent(medianOf(shares))} (${range})`;
+  return shares.length === 0 ? '-' : `${formatPercent(computeMedian(shares))} (${range})`;
 }
 
 function meanCounts(all: readonly Record<string, number>[]): Record<string, number> {
@@ -125,11 +125,13 @@
   );
 }
 
-function toolLine(cells: readonly GoodputCell[]): string {
+function renderGeneratorHealth(cells: readonly GoodputCell[]): string {
   const worst = (valueOf: (cell: GoodputCell) => number) => Math.max(0, ...cells.map(valueOf));
   const loopMs = worst(({ result }) => result.tool.eventLoopDelayP99Ms);
   const lagMs = worst(({ result }) => result.tool.maxSendLagMs);
-  const unfit = cells.filter(({ result }) => result.tool.eventLoopDelayP99Ms > fitLoopDelayMs);
-  const verdict = `${unfit.length} of ${cells.length} cells are limited by the machine (above ${fitLoopDelayMs} ms): their figures tell nothing about policies.`;
-  return `The bench itself in its worst cell: event loop p99 ${formatMs(loopMs)} ms late, a request sent up to ${formatMs(lagMs)} ms late. ${verdict}`;
+  const machineLimited = cells.filter(
+    ({ result }) => result.tool.eventLoopDelayP99Ms > maxLoopDelayMs,
+  );
+  const verdict = `${machineLimited.length} of ${cells.length} cells are limited by the machine (above ${maxLoopDelayMs} ms): their figures do not allow conclusions about policies.`;
+  return `Load generator in its worst cell: event loop p99 ${formatMs(loopMs)} ms late, a request sent up to ${formatMs(lagMs)} ms late. ${verdict}`;
 }
--- a/packages/bench/src/report/overheadReport.ts
+++ b/packages/bench/src/report/overheadReport.ts
@@ -1,4 +1,4 @@
-/** The tables of the overhead experiment. */
+/** Tables of the overhead experiment. */
 import type { OverheadFigures, OverheadLevel, PathTimes } from '../experiments/overheadFigures';
 import { describeMachine } from '../experiments/machine';
 import { formatMs, renderTable } from './table';
@@ -9,51 +9,51 @@
   const { options, longTokens, machine, levels } = figures;
   return [
     describeMachine(machine.before, machine.after),
-    `Prompts of ${options.promptTokens} tokens, answers of ${longTokens} tokens, ${options.repeats} batches of each kind in turn.`,
+    `Prompts of ${options.promptTokens} tokens, responses of ${longTokens} tokens, ${options.repeats} batches of each kind, alternating.`,
     '',
-    latencyTable(levels),
+    renderLatencyTable(levels),
     '',
-    processorTable(figures),
+    renderProcessorTable(figures),
     '',
-    memoryTable(figures),
-    ...failureLines(levels),
+    renderMemoryTable(figures),
+    ...renderFailures(levels),
   ].join('\n');
 }
 
-function latencyTable(levels: readonly OverheadLevel[]): string {
+function renderLatencyTable(levels: readonly OverheadLevel[]): string {
   const headers = ['streams', 'path', 'answers', 'failed', 'first token p50 / p95 / p99 (ms)'];
   const rows = levels.flatMap((level) => {
     const { direct, entry } = level;
     return [
-      latencyRow(String(level.streams), 'engine directly', direct),
-      latencyRow('', 'entry and agent', entry),
-      addedRow(direct, entry),
+      renderLatencyRow(String(level.streams), 'engine directly', direct),
+      renderLatencyRow('', 'entry and agent', entry),
+      renderAddedRow(direct, entry),
     ];
   });
   return renderTable([...headers, 'between tokens p50 / p95 / p99 (ms)', 'answer p50 (ms)'], rows);
 }
 
-function latencyRow(streams: string, path: string, times: PathTimes): string[] {
+function renderLatencyRow(streams: string, path: string, times: PathTimes): string[] {
   const { firstTokenMs, betweenTokensMs, answerMs, failed } = times;
-  const three = ({ p50, p95, p99 }: typeof firstTokenMs) =>
+  const formatThree = ({ p50, p95, p99 }: typeof firstTokenMs) =>
     [p50, p95, p99].map(formatMs).join(' / ');
   return [
     streams,
     path,
     String(firstTokenMs.count),
     String(failed),
-    three(firstTokenMs),
-    three(betweenTokensMs),
+    formatThree(firstTokenMs),
+    formatThree(betweenTokensMs),
     formatMs(answerMs.p50),
   ];
 }
 
-function addedRow(direct: PathTimes, entry: PathTimes): string[] {
+function renderAddedRow(direct: PathTimes, entry: PathTimes): string[] {
   const added = (
     left: PathTimes['firstTokenMs'],
     right: PathTimes['firstTokenMs'],
     keys: readonly ('p50' | 'p95' | 'p99')[],
-  ) => keys.map((key) => signed(right[key] - left[key])).join(' / ');
+  ) => keys.map((key) => formatSigned(right[key] - left[key])).join(' / ');
   const all = ['p50', 'p95', 'p99'] as const;
   return [
     '',
@@ -66,12 +66,12 @@
   ];
 }
 
-function signed(valueMs: number): string {
+function formatSigned(valueMs: number): string {
   return `${valueMs < 0 ? '-' : '+'}${Math.abs(valueMs).toFixed(2)}`;
 }
 
-function processorTable({ levels, idle }: OverheadFigures): string {
-  // Two differences of noisy figures: below zero they tell nothing.
+function renderProcessorTable({ levels, idle }: OverheadFigures): string {
+  // Differences of noisy measurements; values of 0 or less carry no information.
   const us = (value: number) => (value > 0 ? value.toFixed(0) : 'not resolved');
   const rows = levels.map(({ streams, entryCost, agentCost }) => [
     String(streams),
@@ -83,11 +83,11 @@
   const headers = ['streams', 'entry, us a request', 'entry, us a token'];
   const table = renderTable([...headers, 'agent, us a request', 'agent, us a token'], rows);
   const share = (rate: number) => `${(rate * 100).toFixed(2)}%`;
-  const idleLine = `Idle: entry ${share(idle.entry.cpuSeconds)} of a core, all agents together ${share(idle.agent.cpuSeconds)}; taken off the figures above.`;
+  const idleLine = `Idle: entry ${share(idle.entry.cpuSeconds)} of a core, all agents together ${share(idle.agent.cpuSeconds)}; subtracted from the figures above.`;
   return `${table}\n\n${idleLine}`;
 }
 
-function memoryTable({ levels, idle }: OverheadFigures): string {
+function renderMemoryTable({ levels, idle }: OverheadFigures): string {
   const megabytes = (bytes: number) => (bytes / bytesPerMegabyte).toFixed(0);
   const rows = [
     ['idle', megabytes(idle.entry.residentBytes), megabytes(idle.agent.residentBytes)],
@@ -100,7 +100,7 @@
   return renderTable(['resident memory', 'entry (MB)', 'largest agent (MB)'], rows);
 }
 
-function failureLines(levels: readonly OverheadLevel[]): string[] {
+function renderFailures(levels: readonly OverheadLevel[]): string[] {
   return levels
     .filter(({ failures }) => failures.length > 0)
     .map(({ streams, failures }) => `Failures at ${streams} streams: ${failures.join('; ')}`);
--- a/packages/bench/src/report/table.ts
+++ b/packages/bench/src/report/table.ts
@@ -1,6 +1,6 @@
-/** Tables in Markdown, so that they go into docs/BENCHMARKS.md as they are printed. */
+/** Tables in Markdown, which can be copied into docs/BENCHMARKS.md as printed. */
 
-/** `rows` are texts; columns are padded to the same width. */
+/** Renders a Markdown table; the cells of a column are padded to the same width. */
 export function renderTable(
   headers: readonly string[],
   rows: readonly (readonly string[])[],
--- a/packages/bench/src/runCommand.ts
+++ b/packages/bench/src/runCommand.ts
@@ -1,4 +1,4 @@
-/** Runs one command of the bench and writes its table and figures. */
+/** Runs a command of the bench and writes its table and figures. */
 import { writeFile } from 'node:fs/promises';
 import { assertNever } from '@bluebellhitch/shared';
 import { commandNames, type BenchFlags, type CommandName } from './commandLine';
@@ -7,7 +7,7 @@
 import type { ExperimentContext, ExperimentReport } from './experiments/context';
 import { runGoodput } from './experiments/goodput';
 import { runOverhead } from './experiments/overhead';
-import { runQuotaWays } from './experiments/quotaWays';
+import { runQuotaStrategies } from './experiments/quotaStrategies';
 import { runReplays } from './experiments/replays';
 import { runJournalReport } from './journal/journalReport';
 
@@ -43,7 +43,7 @@
     case commandNames.replay:
       return runReplays(flags);
     case commandNames.quota:
-      return Promise.resolve(runQuotaWays(flags));
+      return Promise.resolve(runQuotaStrategies(flags));
     case commandNames.report:
       return runJournalReport(flags);
     case commandNames.capacity:
--- a/packages/bench/src/traffic/capacity.ts
+++ b/packages/bench/src/traffic/capacity.ts
@@ -1,29 +1,29 @@
 /**
- * What a fleet of stand-ins can serve at best, from their settings alone: the ceiling that loads are
- * told as a share of. No policy exceeds it, because it assumes full batches, no waiting for transfers
- * and that a prefix once computed is never computed again.
+ * Estimates the maximum request rate of a fleet from the settings of its stand-ins; loads are given in percent of it.
+ * It is an upper bound for every policy, because it assumes full batches, no waiting for transfers and that each
+ * prefix is computed only once.
  */
 import type { FleetDescription } from '../fleet/fleetDescription';
-import type { EngineProfile } from '../fleet/fleetParts';
+import type { EngineProfile } from '../fleet/fleetTypes';
 import { createTrace, isModelArrival, type ModelArrival } from './trace';
 import type { InstitutionMix } from './mixes';
 
 export interface CapacityEstimate {
-  /** Model requests a second; the least of the three bounds. */
+  /** Model requests per second; the minimum of the three bounds. */
   requestsPerSecond: number;
   decodeSlotsPerSecond: number;
   decodeMemoryPerSecond: number;
   prefillPerSecond: number;
   meanPromptTokens: number;
   meanOutputTokens: number;
-  /** Share of prompt tokens that an unbounded prefix cache would spare in one cell. */
+  /** Fraction of prompt tokens that an unbounded prefix cache would save in one cell. */
   reusableRatio: number;
 }
 
 export interface CapacityOptions {
   description: FleetDescription;
   mix: InstitutionMix;
-  /** Of the cells: a short cell computes each prefix at least once. */
+  /** Duration of a cell. Each prefix is computed at least once, so less of a short cell's prompts is reusable. */
   durationMs: number;
 }
 
@@ -41,14 +41,14 @@
   }).filter(isModelArrival);
   const countOf = (role: string) => backends.filter((backend) => backend.role === role).length;
   const meanOutputTokens = mean(sample, ({ maxOutputTokens }) => maxOutputTokens);
-  const holdSeconds = (meanOutputTokens * fullStepMs(engine)) / 1000;
-  const reusableRatio = reusableShare(sample);
+  const decodeSeconds = (meanOutputTokens * fullBatchStepMs(engine)) / 1000;
+  const reusableRatio = computeReusableRatio(sample);
   const meanPromptTokens = mean(sample, ({ promptTokens }) => promptTokens);
   const meanPrefillMs =
     engine.prefillBaseMs + meanPromptTokens * (1 - reusableRatio) * engine.prefillMsPerToken;
-  const heldByteSeconds = mean(sample, (arrival) => byteSecondsOf(arrival, engine));
+  const heldByteSeconds = mean(sample, (arrival) => computeByteSeconds(arrival, engine));
   const bounds = {
-    decodeSlotsPerSecond: (countOf('decode') * engine.slotCount) / holdSeconds,
+    decodeSlotsPerSecond: (countOf('decode') * engine.slotCount) / decodeSeconds,
     decodeMemoryPerSecond: (countOf('decode') * engine.capacityKvBytes) / heldByteSeconds,
     prefillPerSecond: (countOf('prefill') * 1000) / meanPrefillMs,
   };
@@ -61,19 +61,19 @@
   };
 }
 
-function fullStepMs({ stepBaseMs, stepPerStreamMs, slotCount }: EngineProfile): number {
+function fullBatchStepMs({ stepBaseMs, stepPerStreamMs, slotCount }: EngineProfile): number {
   return stepBaseMs + slotCount * stepPerStreamMs;
 }
 
-/** Memory of prompt and output for as long as the answer takes. */
-function byteSecondsOf(arrival: ModelArrival, engine: EngineProfile): number {
+/** KV cache bytes of prompt and output, multiplied by the decode time in seconds. */
+function computeByteSeconds(arrival: ModelArrival, engine: EngineProfile): number {
   const { promptTokens, maxOutputTokens } = arrival;
-  const seconds = (maxOutputTokens * fullStepMs(engine)) / 1000;
+  const seconds = (maxOutputTokens * fullBatchStepMs(engine)) / 1000;
   return (promptTokens + maxOutputTokens) * engine.kvBytesPerToken * seconds;
 }
 
-/** Tokens of prefixes that an earlier request of the sample has had already. */
-function reusableShare(sample: readonly ModelArrival[]): number {
+/** Fraction of prompt tokens in prefixes that an earlier request of the sample has already used. */
+function computeReusableRatio(sample: readonly ModelArrival[]): number {
   const seen = new Set<string>();
   const reusable = sample.reduce((total, { sharedPrefix }) => {
     const isKnown = seen.has(sharedPrefix.key);
--- a/packages/bench/src/traffic/mixes.ts
+++ b/packages/bench/src/traffic/mixes.ts
@@ -1,12 +1,12 @@
-/** The traffic of each institution: sizes, classes and habits of its callers. */
+/** Traffic mix of each institution: request sizes, classes and behaviour of callers. */
 import { institutionNames, type InstitutionName } from '../fleet/fleetDescription';
 import type { CountRange, Weighted } from './distributions';
 
-/** A kind of prompt: template, then the history that several requests share, then a question. */
+/** Kind of prompt: a template, then a history that several requests share, then a question. */
 export interface PromptKind extends Weighted {
   name: string;
   templateTokens: number;
-  /** Histories to draw from, the first ones most often; 0: the prompt has none. */
+  /** Number of histories to draw from by a Zipf distribution; 0 if the prompt has no history. */
   historyCount: number;
   historyTokens: CountRange;
   questionTokens: CountRange;
@@ -18,24 +18,24 @@
 
 export interface PlainCallKind extends Weighted {
   method: 'GET' | 'POST';
-  /** A number is appended. */
+  /** Prefix of the path; GET calls append the id of the request. */
   pathPrefix: string;
   /** Whether the call carries `Idempotency-Key`. */
-  keyed: boolean;
+  hasIdempotencyKey: boolean;
 }
 
 export interface ModelMix {
   prompts: PromptKind[];
   outputTokens: CountRange;
   classes: TrafficClassShare[];
-  /** Share marked `x-no-repeat` with an `Idempotency-Key`. */
+  /** Fraction of requests sent with `x-no-repeat` and an `Idempotency-Key`. */
   noRepeatRatio: number;
-  /** Share whose caller leaves in the middle. */
+  /** Fraction of requests that the caller cancels before the end of the response. */
   cancelRatio: number;
 }
 
 export interface PlainMix {
-  /** Plain calls for each model request. */
+  /** Number of plain calls per model request. */
   callsPerModelRequest: number;
   calls: PlainCallKind[];
   className: string;
@@ -50,14 +50,14 @@
   [institutionNames.halloranVoss]: {
     model: {
       prompts: [
-        kind('notice', 40, { templateTokens: 64, question: [16, 200] }),
-        kind('summary', 50, {
+        createPromptKind('notice', 40, { templateTokens: 64, question: [16, 200] }),
+        createPromptKind('summary', 50, {
           templateTokens: 320,
           historyCount: 300,
           history: [600, 3_200],
           question: [16, 120],
         }),
-        kind('estate', 10, {
+        createPromptKind('estate', 10, {
           templateTokens: 320,
           historyCount: 40,
           history: [4_000, 16_000],
@@ -77,22 +77,22 @@
       callsPerModelRequest: 1,
       className: 'counter',
       calls: [
-        { method: 'GET', pathPrefix: '/balance/', keyed: false, weight: 8 },
-        { method: 'POST', pathPrefix: '/receipts', keyed: true, weight: 2 },
+        { method: 'GET', pathPrefix: '/balance/', hasIdempotencyKey: false, weight: 8 },
+        { method: 'POST', pathPrefix: '/receipts', hasIdempotencyKey: true, weight: 2 },
       ],
     },
   },
   [institutionNames.sahlat]: {
     model: {
       prompts: [
-        kind('audit', 15, { templateTokens: 64, question: [16, 200] }),
-        kind('casing', 65, {
+        createPromptKind('audit', 15, { templateTokens: 64, question: [16, 200] }),
+        createPromptKind('casing', 65, {
           templateTokens: 320,
           historyCount: 160,
           history: [1_000, 4_000],
           question: [16, 120],
         }),
-        kind('retread', 20, {
+        createPromptKind('retread', 20, {
           templateTokens: 320,
           historyCount: 40,
           history: [5_000, 20_000],
@@ -111,8 +111,8 @@
       callsPerModelRequest: 1,
       className: 'foremen',
       calls: [
-        { method: 'GET', pathPrefix: '/dispatch/', keyed: false, weight: 6 },
-        { method: 'POST', pathPrefix: '/checkins', keyed: false, weight: 4 },
+        { method: 'GET', pathPrefix: '/dispatch/', hasIdempotencyKey: false, weight: 6 },
+        { method: 'POST', pathPrefix: '/checkins', hasIdempotencyKey: false, weight: 4 },
       ],
     },
   },
@@ -125,7 +125,7 @@
   question: [min: number, max: number];
 }
 
-function kind(name: string, weight: number, shape: PromptShape): PromptKind {
+function createPromptKind(name: string, weight: number, shape: PromptShape): PromptKind {
   const { templateTokens, historyCount = 0, history = [1, 1], question } = shape;
   const [historyMin, historyMax] = history;
   const [questionMin, questionMax] = question;
--- a/packages/bench/src/traffic/trace.ts
+++ b/packages/bench/src/traffic/trace.ts
@@ -1,7 +1,6 @@
 /**
- * A trace of requests with their arrival times: Poisson arrivals, the same for the same seed. Prompts
- * share prefixes as those of the institutions do, and each one ends in a part of its own, so that a
- * mixed-up answer shows.
+ * Creates traces of requests with Poisson arrivals; the same seed gives the same trace. Prompts share prefixes as
+ * those of the institutions do, and each ends with a unique part, so that a response to another request is detected.
  */
 import type { Random } from '@bluebellhitch/shared';
 import {
@@ -12,22 +11,22 @@
   drawZipf,
 } from './distributions';
 import type { InstitutionMix, ModelMix, PlainMix, PromptKind } from './mixes';
-import { textOfTokens } from './promptText';
+import { createText } from './promptText';
 
 export interface ModelArrival {
   kind: 'model';
-  /** From the start of the trace. */
+  /** Milliseconds from the start of the trace. */
   atMs: number;
   /** Unique within a trace. */
   id: string;
   prompt: string;
   promptTokens: number;
-  /** Leading tokens that requests of the same history share; for estimates of reuse. */
+  /** Leading tokens shared by all requests with the same history; used to estimate reuse. */
   sharedPrefix: { key: string; tokenCount: number };
   maxOutputTokens: number;
   className: string;
   noRepeat: boolean;
-  /** When its caller leaves, in milliseconds after the arrival; undefined: never. */
+  /** When the caller cancels, in milliseconds after the arrival; undefined if never. */
   cancelAfterMs?: number;
 }
 
@@ -37,10 +36,10 @@
   id: string;
   method: 'GET' | 'POST';
   path: string;
-  /** What an answer to this call must contain. */
+  /** Text that the response to this call must contain. */
   marker: string;
   body?: string;
-  keyed: boolean;
+  hasIdempotencyKey: boolean;
   className: string;
 }
 
@@ -49,35 +48,41 @@
 export interface TraceOptions {
   seed: number;
   mix: InstitutionMix;
-  /** Model requests; plain calls come on top. */
+  /** Rate of model requests; plain calls are added to it. */
   ratePerSecond: number;
   durationMs: number;
 }
 
-const cancelAfterMs = { min: 50, max: 1_500 };
+const cancelAfterRangeMs = { min: 50, max: 1_500 };
 
-/** Creates the arrivals of both kinds, in the order of their times. */
+/** Creates the arrivals of both kinds, ordered by time. */
 export function createTrace(options: TraceOptions): Arrival[] {
   const { seed, mix, ratePerSecond, durationMs } = options;
   const modelRandom = createLabelledRandom(`models ${seed}`);
   const plainRandom = createLabelledRandom(`plain calls ${seed}`);
   const texts = createTextCache();
-  const modelTimes = arrivalTimes(ratePerSecond, durationMs, modelRandom);
-  const models = modelTimes.map((atMs, index) =>
-    drawModelArrival({ mix: mix.model, random: modelRandom, texts, atMs, id: `${seed}-${index}` }),
+  const modelTimes = drawArrivalTimes(ratePerSecond, durationMs, modelRandom);
+  const modelRequests = modelTimes.map((atMs, index) =>
+    drawModelArrival({
+      mix: mix.model,
+      random: modelRandom,
+      texts,
+      atMs,
+      id: `${seed}-${index}`,
+    }),
   );
   const plainRate = ratePerSecond * mix.plain.callsPerModelRequest;
-  const plains = arrivalTimes(plainRate, durationMs, plainRandom).map((atMs, index) =>
+  const plainCalls = drawArrivalTimes(plainRate, durationMs, plainRandom).map((atMs, index) =>
     drawPlainArrival(mix.plain, plainRandom, atMs, `${seed}-plain-${index}`),
   );
-  return [...models, ...plains].sort((left, right) => left.atMs - right.atMs);
+  return [...modelRequests, ...plainCalls].sort((left, right) => left.atMs - right.atMs);
 }
 
 export function isModelArrival(arrival: Arrival): arrival is ModelArrival {
   return arrival.kind === 'model';
 }
 
-function arrivalTimes(ratePerSecond: number, durationMs: number, random: Random): number[] {
+function drawArrivalTimes(ratePerSecond: number, durationMs: number, random: Random): number[] {
   const times: number[] = [];
   let atMs = ratePerSecond > 0 ? drawInterarrivalMs(ratePerSecond, random) : durationMs;
   while (atMs < durationMs) {
@@ -89,11 +94,11 @@
 
 type TextCache = (label: string, tokenCount: number) => string;
 
-/** Histories are long and drawn often. */
+/** Caches texts, because histories are long and drawn often. */
 function createTextCache(): TextCache {
   const texts = new Map<string, string>();
   return (label, tokenCount) => {
-    const text = texts.get(label) ?? textOfTokens(label, tokenCount);
+    const text = texts.get(label) ?? createText(label, tokenCount);
     texts.set(label, text);
     return text;
   };
@@ -110,13 +115,13 @@
 function drawModelArrival({ mix, random, texts, atMs, id }: DrawOptions): ModelArrival {
   const kind = drawWeighted(mix.prompts, random);
   const prefix = drawPrefix(kind, texts, random);
-  const question = textOfTokens(`request ${id}`, drawLogUniform(kind.questionTokens, random));
+  const question = createText(`request ${id}`, drawLogUniform(kind.questionTokens, random));
   const prompt = `${prefix.text}${question}`;
   const maxOutputTokens = drawLogUniform(mix.outputTokens, random);
   const className = drawWeighted(mix.classes, random).name;
   const noRepeat = random() < mix.noRepeatRatio;
-  const leaves = random() < mix.cancelRatio;
-  const leaveAfterMs = drawLogUniform(cancelAfterMs, random);
+  const isCancelled = random() < mix.cancelRatio;
+  const drawnCancelAfterMs = drawLogUniform(cancelAfterRangeMs, random);
   return {
     kind: 'model',
     atMs,
@@ -127,7 +132,7 @@
     maxOutputTokens,
     className,
     noRepeat,
-    cancelAfterMs: leaves ? leaveAfterMs : undefined,
+    cancelAfterMs: isCancelled ? drawnCancelAfterMs : undefined,
   };
 }
 
@@ -138,14 +143,14 @@
   }
   const index = drawZipf(kind.historyCount, random);
   const key = `${kind.name} history ${index}`;
-  // Its own label decides the length: the same each time it is drawn, whatever the trace's seed.
+  // The length depends on the label only, so it is the same for every draw and every seed of a trace.
   const historyTokens = drawLogUniform(kind.historyTokens, createLabelledRandom(`${key} length`));
   const text = `${template}${texts(key, historyTokens)}`;
   return { key, text, tokenCount: kind.templateTokens + historyTokens };
 }
 
 function drawPlainArrival(mix: PlainMix, random: Random, atMs: number, id: string): PlainArrival {
-  const { method, pathPrefix, keyed } = drawWeighted(mix.calls, random);
+  const { method, pathPrefix, hasIdempotencyKey } = drawWeighted(mix.calls, random);
   const isLookup = method === 'GET';
   return {
     kind: 'plain',
@@ -155,7 +160,7 @@
     path: isLookup ? `${pathPrefix}${id}` : pathPrefix,
     marker: id,
     body: isLookup ? undefined : JSON.stringify({ id }),
-    keyed,
+    hasIdempotencyKey,
     className: mix.className,
   };
 }
