--- a/packages/entry/__tests__/baselinePlacement.test.ts
+++ b/packages/entry/__tests__/baselinePlacement.test.ts
@@ -6,15 +6,15 @@
 const service = 'draft-models';
 const longPrompt = { messages: [{ role: 'user', content: 'bond history '.repeat(200) }] };
 
-interface WatchedFleet {
+interface RecordingFleet {
   agents: FakeAgent[];
   decode: FakeAgent[];
   prefill: FakeAgent;
   steps: string[];
 }
 
-/** Two decode workers and a prefill worker that write down what they are asked. */
-function watchedFleet(): WatchedFleet {
+/** Two decode workers and a prefill worker that record the calls they get. */
+function createRecordingFleet(): RecordingFleet {
   const steps: string[] = [];
   const decode = ['decode-1', 'decode-2'].map((id) =>
     createFakeAgent({ id, service, role: 'decode' }),
@@ -39,16 +39,16 @@
   return { agents, decode, prefill, steps };
 }
 
-const stepsOf: Record<PlacementPolicy, string[]> = {
+const expectedSteps: Record<PlacementPolicy, string[]> = {
   default: ['bid', 'bid', 'bid', 'reserve decode', 'reserve prefill', 'prefill'],
   random: ['reserve prefill', 'prefill', 'reserve decode'],
   'least-loaded': ['reserve decode', 'reserve prefill', 'prefill'],
   'prefill-first': ['bid', 'bid', 'bid', 'reserve prefill', 'prefill', 'reserve decode'],
 };
 
-Object.entries(stepsOf).forEach(([policy, expected]) => {
-  test(`${policy} takes its steps in order, and nothing stays held`, async (t) => {
-    const { agents, decode, steps } = watchedFleet();
+Object.entries(expectedSteps).forEach(([policy, expected]) => {
+  test(`${policy} takes its steps in order and holds nothing afterwards`, async (t) => {
+    const { agents, decode, steps } = createRecordingFleet();
     const { address, context } = await startHarness(t, { agents });
     context.runtimes.policy = policy as PlacementPolicy;
     const response = await chat(address, longPrompt);
@@ -63,10 +63,10 @@
   });
 });
 
-// The caller gets a refusal. The prefill ends, then both decode workers refuse their memory. Its result
-// serves nobody: it must be counted as wasted and must not keep memory at the prefill worker.
-test('a prefill without decode memory is given up and counted', async (t) => {
-  const { agents, decode, prefill, steps } = watchedFleet();
+// The prefill completes, then both decode workers refuse the reservation, and the caller gets a refusal.
+// The unused prefill must be counted as wasted, and its memory at the prefill worker released.
+test('a prefill without decode memory is released and counted as wasted', async (t) => {
+  const { agents, decode, prefill, steps } = createRecordingFleet();
   decode.forEach((agent) => {
     agent.reserve = () => {
       steps.push('reserve decode');
--- a/packages/entry/__tests__/cancel.test.ts
+++ b/packages/entry/__tests__/cancel.test.ts
@@ -8,9 +8,9 @@
 const longPrompt = { messages: [{ role: 'user', content: 'bond history '.repeat(200) }] };
 
 interface Stage {
-  /** Makes the request stop at the stage. */
+  /** Makes the request wait at this stage. */
   arrange: (decode: FakeAgent, prefill: FakeAgent) => void;
-  /** Whether the request has come to the stage. */
+  /** Whether the request has reached this stage. */
   isReached: (decode: FakeAgent, prefill: FakeAgent) => boolean;
   body?: Record<string, unknown>;
   headers?: Record<string, string>;
@@ -21,7 +21,7 @@
 let prefillCount = 0;
 
 const stages: Record<string, Stage> = {
-  'while bids are asked for': {
+  'while bids are requested': {
     arrange: (decode) => {
       decode.bid = () => {
         bidCount += 1;
@@ -75,11 +75,11 @@
   },
 };
 
-// The caller hangs up while its request is at some stage. Nobody will read the answer, yet a slot or a
-// prefill result would stay held for it. The entry cancels at each agent that may hold something; even
-// when that agent's grant was still on its way.
+// The caller disconnects while its request is at some stage. Without a cancel, a slot or a prefill result
+// would stay reserved for a response that nobody reads. The entry must cancel at each agent that may hold
+// something, also if the agent's grant has not arrived yet.
 Object.entries(stages).forEach(([name, stage]) => {
-  test.serial(`a caller that hangs up ${name} leaves nothing held`, async (t) => {
+  test.serial(`a caller that disconnects ${name} leaves nothing held`, async (t) => {
     const decode = createFakeAgent({ id: 'decode-1', service, role: 'decode' });
     const prefill = createFakeAgent({ id: 'prefill-1', service, role: 'prefill' });
     stage.arrange(decode, prefill);
@@ -113,8 +113,8 @@
   });
 });
 
-// The agent does not hear the first cancels. Other work keeps the heartbeat with it alive, and with it
-// the lease of the cancelled attempt. The cancel is repeated until the agent confirms it.
+// The first cancels do not reach the agent. Heartbeats for other work would keep the lease of the
+// cancelled attempt alive, so the cancel must be repeated until the agent confirms it.
 test.serial('a cancel that fails is repeated', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   agent.frames = (_request, signal) => untilAborted(signal);
@@ -132,7 +132,7 @@
   t.is(agent.cancelled.length, 1);
 });
 
-test.serial('the reservation whose answer was lost is cancelled', async (t) => {
+test.serial('a reservation whose reply was lost is cancelled', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   agent.reserve = () => ({ kind: 'lost', detail: 'reset' });
   const harness = await startHarness(t, { agents: [agent] });
@@ -141,7 +141,7 @@
   await eventually(t, () => agent.held.size === 0);
 });
 
-test.serial('a run goes on while one of its callers still waits', async (t) => {
+test.serial('a run continues while one of its callers still waits', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   let release: () => void = () => undefined;
   const gate = new Promise<void>((resolve) => {
--- a/packages/entry/__tests__/heartbeats.test.ts
+++ b/packages/entry/__tests__/heartbeats.test.ts
@@ -24,24 +24,27 @@
   return { clock, state, heartbeats };
 }
 
-test.serial('beats once for all shares of an agent, and only while there is one', async (t) => {
-  const { clock, state, heartbeats } = start();
-  const first = heartbeats.share(address);
-  const second = heartbeats.share(address);
-  await clock.tickAsync(4_000);
-  t.is(state.count, 10);
-  first.release();
-  first.release();
-  await clock.tickAsync(400);
-  t.is(state.count, 11);
-  second.release();
-  await clock.tickAsync(4_000);
-  t.is(state.count, 11);
-  t.deepEqual(heartbeats.addresses(), []);
-  clock.uninstall();
-});
+test.serial(
+  'sends one heartbeat for all shares of an agent, and only while there is one',
+  async (t) => {
+    const { clock, state, heartbeats } = start();
+    const first = heartbeats.share(address);
+    const second = heartbeats.share(address);
+    await clock.tickAsync(4_000);
+    t.is(state.count, 10);
+    first.release();
+    first.release();
+    await clock.tickAsync(400);
+    t.is(state.count, 11);
+    second.release();
+    await clock.tickAsync(4_000);
+    t.is(state.count, 11);
+    t.deepEqual(heartbeats.addresses(), []);
+    clock.uninstall();
+  },
+);
 
-test.serial('tells its shares when the agent has not answered for a lease', async (t) => {
+test.serial('aborts its shares when the agent has not replied for a lease duration', async (t) => {
   const { clock, state, heartbeats } = start();
   const share = heartbeats.share(address);
   state.fails = true;
@@ -53,16 +56,16 @@
   clock.uninstall();
 });
 
-// The process is paused for longer than its leases last, so that its timers did not run. When it
-// resumes, its slot may serve another request already. The first look at the clock must tell.
-test.serial('a process that was paused does not rely on its leases', (t) => {
+// The process is paused for longer than its leases last, so its timers do not run. When it resumes, its
+// slot may serve another request already. The first check must detect this from the clock alone.
+test.serial('a process that was paused treats its leases as lapsed', (t) => {
   const { clock, heartbeats } = start();
   const share = heartbeats.share(address);
   clock.setSystemTime(0);
   clock.jump(2_001);
   t.false(share.isCurrent());
   const fresh = heartbeats.share(address);
-  t.true(fresh.isCurrent(), 'new work starts with leases of its own');
+  t.true(fresh.isCurrent(), 'new work starts with new leases');
   clock.uninstall();
 });
 
--- a/packages/entry/__tests__/modelRequest.test.ts
+++ b/packages/entry/__tests__/modelRequest.test.ts
@@ -16,7 +16,7 @@
 import { chat, createOpenClaims, eventsOf, startHarness } from './support/harness';
 
 const service = 'draft-models';
-const marked = { headers: { 'x-no-repeat': 'true', 'idempotency-key': 'letter-1' } };
+const atMostOnce = { headers: { 'x-no-repeat': 'true', 'idempotency-key': 'letter-1' } };
 const longPrompt = { messages: [{ role: 'user', content: 'bond history '.repeat(200) }] };
 
 const pair = (): [FakeAgent, FakeAgent] => [
@@ -24,8 +24,8 @@
   createFakeAgent({ id: 'agent-2', service }),
 ];
 
-/** Makes whichever agent is asked first behave as told, and the others answer whole. */
-function firstStreams(agents: FakeAgent[], frames: FakeAgent['frames']): void {
+/** Makes the agent that streams first produce the given frames; later streams are complete. */
+function setFirstStream(agents: FakeAgent[], frames: FakeAgent['frames']): void {
   let started = false;
   agents.forEach((agent) => {
     agent.frames = (request, signal) => {
@@ -73,13 +73,13 @@
   const { address } = await startHarness(t, { agents: [decode, prefill] });
   const response = await chat(address, longPrompt);
   t.is(response.status, 200);
-  t.is(heldAfterFirstToken, 0, 'the export is dropped as soon as it has been used');
+  t.is(heldAfterFirstToken, 0, 'the export is released as soon as it has been used');
   t.like(decode.streamed[0]?.source, { kind: 'transfer', exportId: 'export' });
-  t.is(heldCount([decode, prefill]), 0, 'the prefill worker is told when its result was used');
+  t.is(heldCount([decode, prefill]), 0, 'the prefill worker is notified when its result was used');
   t.is(prefill.cancelled.length, 1);
 });
 
-test('prefills a short prompt where it decodes', async (t) => {
+test('prefills a short prompt on the decode worker', async (t) => {
   const decode = createFakeAgent({ id: 'decode-1', service, role: 'decode' });
   const prefill = createFakeAgent({ id: 'prefill-1', service, role: 'prefill' });
   const { address } = await startHarness(t, { agents: [decode, prefill] });
@@ -87,12 +87,12 @@
   t.deepEqual(decode.streamed[0]?.source, { kind: 'local' });
 });
 
-// The worker dies after two tokens reached the caller. Without a continuation the caller would keep
-// half a letter; with a restart it would read the first words twice. The entry asks another worker to
-// go on behind the tokens that are out.
-test('continues elsewhere behind the emitted tokens when a worker dies', async (t) => {
+// The worker dies after two tokens have reached the caller. Without a continuation the caller would have
+// an incomplete response; with a restart it would get the first words twice. The entry lets another worker
+// continue after the emitted tokens.
+test('continues on another worker after the emitted tokens when a worker dies', async (t) => {
   const agents = pair();
-  firstStreams(agents, (request) => tokens(request, 2));
+  setFirstStream(agents, (request) => tokens(request, 2));
   const { address } = await startHarness(t, { agents });
   const response = await chat(address, { stream: true });
   const text = await response.text();
@@ -107,7 +107,7 @@
 
 const faults: Record<string, FakeAgent['frames']> = {
   'ends without its end marker': (request) => tokens(request, 2),
-  'leaves out a token': async function* gap(request): AsyncGenerator<StreamFrame> {
+  'skips a token': async function* gap(request): AsyncGenerator<StreamFrame> {
     yield tokenAt(request.attemptId, 0);
     yield tokenAt(request.attemptId, 2);
     yield endOf(request);
@@ -120,10 +120,10 @@
   },
 };
 
-// A worker's answer is broken and no other worker is left. The caller has a part of it already. It must
-// get an explicit error in place of the end marker, or it would take the part for the whole.
+// A worker's response is broken and no other worker is left. The caller has received a part of it already
+// and must get an explicit error instead of the end marker, or it would take that part as complete.
 Object.entries(faults).forEach(([name, frames]) => {
-  test(`an answer that ${name} ends in an error event`, async (t) => {
+  test(`a response that ${name} ends in an error event`, async (t) => {
     const agent = createFakeAgent({ id: 'agent-1', service });
     agent.frames = frames;
     const { address } = await startHarness(t, { agents: [agent] });
@@ -135,8 +135,8 @@
   });
 });
 
-// Late frames of an earlier attempt arrive inside this answer, and frames repeat. Passed on, another
-// caller's words would stand in this one's letter. They are dropped by attempt id and offset.
+// Late frames of another attempt arrive within this response, and frames are repeated. If forwarded, they
+// would put another caller's words into it. They are dropped by attempt id and offset.
 test('drops foreign and repeated frames', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   agent.frames = async function* noisy(request): AsyncGenerator<StreamFrame> {
@@ -153,8 +153,8 @@
   t.is(textOf(await (await chat(address, { stream: true })).text()), words.join(''));
 });
 
-// A worker begins a graceful stop while the instance list still shows it as live. Each request that
-// asked it again would lose a round trip. The first refusal takes it out of the entry's view.
+// A worker starts a graceful stop while the instance list still shows it as live. Each further request
+// sent to it would cost a round trip, so the first refusal removes it from the entry's view.
 test('drops a leaving worker on its first refusal and serves the request elsewhere', async (t) => {
   const agents = pair();
   agents[0].reserve = () => refusal('leaving');
@@ -186,7 +186,7 @@
   t.like(await response.json(), { reason: 'queue-full', notRun: true });
 });
 
-test('never asks a server again that failed the request', async (t) => {
+test('never sends the request again to a server that failed it', async (t) => {
   const agents = pair();
   agents.forEach((agent) => {
     agent.frames = (request) => tokens(request, 0);
@@ -197,7 +197,7 @@
   t.true(agents.every(({ streamed }) => streamed.length <= 1));
 });
 
-test('takes the claim of marked work after the reservation and before the dispatch', async (t) => {
+test('takes the claim of at-most-once work after the reservation and before the dispatch', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   const order: string[] = [];
   const open = createOpenClaims();
@@ -208,27 +208,27 @@
     },
   });
   const { address } = await startHarness(t, { agents: [agent], claims });
-  const response = await chat(address, {}, marked);
+  const response = await chat(address, {}, atMostOnce);
   t.is(response.status, 200);
   t.deepEqual(order, ['claim, 1 reserved, 0 dispatched']);
   t.deepEqual(ends, ['ran']);
 });
 
-// The worker dies while it drafts a redemption letter. Another run could send the letter twice, so the
-// caller gets an error that says it may have run, and the claim stays.
-test('never runs marked work again after its dispatch', async (t) => {
+// The worker dies while it runs a request that must run at most once. Another run could repeat its effect
+// (a letter sent twice), so the caller gets an error that says it may have run, and the claim is kept.
+test('never runs at-most-once work again after its dispatch', async (t) => {
   const agents = pair();
-  firstStreams(agents, (request) => tokens(request, 0));
+  setFirstStream(agents, (request) => tokens(request, 0));
   const { claims, ends } = recordClaims();
   const { address } = await startHarness(t, { agents, claims });
-  const response = await chat(address, {}, marked);
+  const response = await chat(address, {}, atMostOnce);
   t.is(response.status, 502);
   t.like(await response.json(), { notRun: 'unknown' });
   t.is(agents[0].streamed.length + agents[1].streamed.length, 1);
   t.deepEqual(ends, ['unknown']);
 });
 
-test('releases the claim of marked work that the worker proved not run', async (t) => {
+test('releases the claim of at-most-once work that the worker proved not run', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   agent.frames = async function* refuse({ attemptId }): AsyncGenerator<StreamFrame> {
     yield {
@@ -240,18 +240,18 @@
   };
   const { claims, ends } = recordClaims();
   const { address } = await startHarness(t, { agents: [agent], claims });
-  const response = await chat(address, {}, marked);
+  const response = await chat(address, {}, atMostOnce);
   t.like(await response.json(), { notRun: true });
   t.deepEqual(ends, ['released']);
 });
 
-test('answers a duplicate of marked work with what is known and does not run it', async (t) => {
+test('answers a duplicate of at-most-once work with its known state and does not run it', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   const { claims, ends } = recordClaims({
     take: () => okAsync({ kind: 'held', state: 'ran', requestId: 'request-0' }),
   });
   const { address } = await startHarness(t, { agents: [agent], claims });
-  const response = await chat(address, {}, marked);
+  const response = await chat(address, {}, atMostOnce);
   t.is(response.status, 409);
   const problem = (await response.json()) as { detail: string; notRun: unknown };
   t.regex(problem.detail, /request-0 .* has run/);
@@ -261,20 +261,20 @@
   t.deepEqual(ends, []);
 });
 
-test('refuses marked work as not run while claims cannot be taken', async (t) => {
+test('refuses at-most-once work as not run while claims cannot be taken', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   const { claims } = recordClaims({
     take: () => errAsync({ kind: 'unavailable', detail: 'platform down', claimMayStay: false }),
   });
   const { address } = await startHarness(t, { agents: [agent], claims });
-  const response = await chat(address, {}, marked);
+  const response = await chat(address, {}, atMostOnce);
   t.is(response.status, 503);
   t.like(await response.json(), { reason: 'claim-unavailable', notRun: true });
-  t.is((await chat(address)).status, 200, 'other work goes on');
+  t.is((await chat(address)).status, 200, 'other requests are still served');
 });
 
-// The entry is paused after it took the claim, for longer than claims last. Another entry may have run
-// the request meanwhile. By its own clock the claim is too old, so it must not dispatch.
+// The entry is paused after it took the claim, for longer than claims last, and another entry may have run
+// the request meanwhile. By the entry's own clock the claim is too old, so it must not dispatch.
 test('does not dispatch under a claim that is too old', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   const { claims } = recordClaims({
@@ -282,12 +282,12 @@
       okAsync({ kind: 'taken', claim: { key, requestId, attemptId, dispatchBeforeMs: 0 } }),
   });
   const { address } = await startHarness(t, { agents: [agent], claims });
-  const response = await chat(address, {}, marked);
+  const response = await chat(address, {}, atMostOnce);
   t.like(await response.json(), { notRun: true });
   t.is(agent.streamed.length, 0);
 });
 
-test('repeatable requests with one key share a run, and both get the whole answer', async (t) => {
+test('repeatable requests with one key share a run, and both get the complete response', async (t) => {
   const agents = pair();
   let release: () => void = () => undefined;
   const gate = new Promise<void>((resolve) => {
@@ -310,8 +310,8 @@
   t.is(agents[0].streamed.length + agents[1].streamed.length, 1);
 });
 
-// A request crashes each server that runs it. Sent again and again it would take down the whole pool.
-// After two strikes no third server gets it, and the next try of its caller is refused at the door.
+// A request crashes each server that runs it; with unlimited retries it would take down the whole pool.
+// After two strikes it is not sent to a third server, and its caller's next try is refused at admission.
 test('stops a request that crashes servers after two strikes', async (t) => {
   const agents = ['agent-1', 'agent-2', 'agent-3'].map((id) => createFakeAgent({ id, service }));
   agents.forEach((agent) => {
@@ -333,19 +333,19 @@
   t.is(agents.filter(({ streamed }) => streamed.length > 0).length, 2);
 });
 
-// A server dies with four requests in flight, so that all four are struck; two servers are left. One of
-// the four may be to blame, so that no two run beside each other. Refused for that, three clerks would
-// lose their letters; they wait for each other instead.
-test('struck requests wait for a server without another struck one', async (t) => {
+// A server dies with four requests in flight, so all four get a strike; two servers are left. Any of the
+// four may be the cause, so no two may run on the same server. Refusing those without a free server would
+// fail up to three requests that did nothing wrong; instead they wait for each other.
+test('requests with strikes wait for a server without another one', async (t) => {
   const agents = ['agent-1', 'agent-2', 'agent-3'].map((id) => createFakeAgent({ id, service }));
   const [first, ...others] = agents as [FakeAgent, FakeAgent, FakeAgent];
-  let die: () => void = () => undefined;
-  const death = new Promise<void>((resolve) => {
-    die = resolve;
+  let crashServer: () => void = () => undefined;
+  const serverCrashed = new Promise<void>((resolve) => {
+    crashServer = resolve;
   });
   first.frames = async function* dying(request): AsyncGenerator<StreamFrame> {
     yield* tokens(request, 1);
-    await death;
+    await serverCrashed;
     yield {
       ...refusal('backend-failed', false),
       kind: 'failed',
@@ -353,7 +353,7 @@
       backendDied: true,
     };
   };
-  let mostAtOnce = 0;
+  let maxConcurrent = 0;
   others.forEach((agent) => {
     const { bid } = agent;
     agent.bid = () => ({
@@ -363,7 +363,7 @@
     let running = 0;
     agent.frames = async function* slow(request): AsyncGenerator<StreamFrame> {
       running += 1;
-      mostAtOnce = Math.max(mostAtOnce, running);
+      maxConcurrent = Math.max(maxConcurrent, running);
       try {
         await new Promise((resolve) => {
           setTimeout(resolve, 30);
@@ -382,15 +382,15 @@
     ),
   );
   t.is(first.streamed.length, 4);
-  die();
+  crashServer();
   const texts = await Promise.all(responses.map((response) => response.text()));
   t.deepEqual(texts.map(textOf), Array(4).fill(words.join('')));
-  t.is(mostAtOnce, 1);
+  t.is(maxConcurrent, 1);
 });
 
-// The engine of two workers restarts, and their agents answer that they cannot serve now. They are the
-// ones that this entry prefers. The others must be asked before the request is refused.
-test('asks other workers where those asked first cannot work', async (t) => {
+// The engines of the two workers that this entry prefers restart, and their agents reply that they cannot
+// serve now. The other workers must be asked before the request is refused.
+test('asks other workers if those asked first cannot serve', async (t) => {
   const agents = ['agent-1', 'agent-2'].map((id) => createFakeAgent({ id, service }));
   const remote = createFakeAgent({ id: 'agent-3', service, dataCentre: 'salem-hall' });
   agents.forEach((agent) => {
@@ -405,9 +405,9 @@
   t.is(remote.streamed.length, 1);
 });
 
-// The workers of this data centre are paused: they take connections and answer nothing. No request was
-// dispatched, so that asking others is no retry; six callers at once must not use up a budget.
-test('asks others where nobody answers in time', async (t) => {
+// The workers of this data centre are paused: they accept connections but never reply. No request was
+// dispatched, so asking others is not a retry, and six concurrent callers must not exhaust the retry budget.
+test('asks other workers if none replies in time', async (t) => {
   const paused = pair();
   paused.forEach((agent) => {
     agent.bid = () => never() as never;
@@ -421,9 +421,9 @@
   );
 });
 
-// A burst meets busy machines: every bid takes longer than the usual wait. Taken for silence it would
-// refuse nearly all of them beside idle engines (96 of 100 in a trial). Late bids count, as long as
-// nobody answers sooner.
+// A burst reaches busy machines, and every bid takes longer than the normal wait. If late bids were treated
+// as missing, nearly all requests would be refused while engines are idle (96 of 100 in a trial). Late bids
+// count as long as there are no earlier ones.
 test('serves requests whose bids are all late', async (t) => {
   const agents = pair();
   agents.forEach((agent) => {
--- a/packages/entry/__tests__/plainRequest.test.ts
+++ b/packages/entry/__tests__/plainRequest.test.ts
@@ -2,7 +2,13 @@
 import { text } from 'node:stream/consumers';
 import test from 'ava';
 import { delay } from '@bluebellhitch/shared';
-import { createFakeAgent, never, plainAnswer, refusal, type FakeAgent } from './support/fakeAgents';
+import {
+  createFakeAgent,
+  never,
+  plainResponse,
+  refusal,
+  type FakeAgent,
+} from './support/fakeAgents';
 import { createOpenClaims, eventually, startHarness } from './support/harness';
 
 const service = 'counter-app';
@@ -12,27 +18,27 @@
   agents.reduce((total, { plainCalls }) => total + plainCalls.length, 0);
 const receipt = { method: 'POST', body: 'receipt', headers: { 'idempotency-key': 'receipt-1' } };
 
-/** Whichever agent is asked first behaves as told. */
-function firstCall(agents: FakeAgent[], plain: FakeAgent['plain']): void {
+/** Makes the agent that is called first respond as given, once. */
+function setFirstCall(agents: FakeAgent[], plain: FakeAgent['plain']): void {
   let called = false;
   agents.forEach((agent) => {
-    const usual = agent.plain;
+    const original = agent.plain;
     agent.plain = (call) => {
       const isFirst = !called;
       called = true;
-      return isFirst ? plain(call) : usual(call);
+      return isFirst ? plain(call) : original(call);
     };
   });
 }
 
-const refusedAnswer = (reason: 'leaving' | 'queue-full' | 'backend-failed', notRun: boolean) => ({
-  ...plainAnswer(503, 'refused'),
+const refusedResponse = (reason: 'leaving' | 'queue-full' | 'backend-failed', notRun: boolean) => ({
+  ...plainResponse(503, 'refused'),
   refusal: refusal(reason, notRun ? true : 'unknown'),
 });
 
-test('tries another server after a proven not run, with the body from its start', async (t) => {
+test('tries another server after a proven not run, with the complete body', async (t) => {
   const agents = pair();
-  firstCall(agents, () => refusedAnswer('leaving', true));
+  setFirstCall(agents, () => refusedResponse('leaving', true));
   const { address, left } = await startHarness(t, { agents });
   const response = await fetch(`${address}/counter`, { method: 'POST', body: 'amount' });
   t.is(response.status, 200);
@@ -45,37 +51,37 @@
 
 test('tries another server when a connection broke and the route may be repeated', async (t) => {
   const agents = pair();
-  firstCall(agents, () => ({ kind: 'lost', detail: 'reset' }));
+  setFirstCall(agents, () => ({ kind: 'lost', detail: 'reset' }));
   const { address } = await startHarness(t, { agents });
   t.is((await fetch(`${address}/counter`)).status, 200);
   t.is(callCount(agents), 2);
 });
 
-// A plain server is paused: its kernel takes the call, and no answer comes. The caller would wait for the
-// request's whole deadline of a minute. The lookup goes to another server once the head of the answer is
-// later than the document allows; a receipt is answered as unknown then, since it may have been written.
-test('a server that does not begin its answer is given up', async (t) => {
+// A plain server is paused: its kernel accepts the call, but no response comes, and the caller would wait
+// for the request's full deadline of a minute. When the response head is later than the document allows, a
+// repeatable lookup goes to another server; a receipt is reported as unknown, since it may have been written.
+test('a call whose response does not start in time is abandoned', async (t) => {
   const agents = pair();
   const stalled: FakeAgent['plain'] = async (call) => {
     await delay(Math.min(call.headTimeoutMs, 5_000));
     return { kind: 'timeout', detail: 'no response in time' };
   };
-  firstCall(agents, stalled);
+  setFirstCall(agents, stalled);
   const document = { limits: { firstByteTimeoutMs: 100 } };
   const { address } = await startHarness(t, { agents, document });
   const startedAtMs = performance.now();
   t.is((await fetch(`${address}/counter`)).status, 200);
   agents.forEach((agent) => Object.assign(agent, { plain: stalled }));
-  const answer = await fetch(`${address}/receipts`, receipt);
-  t.like(await answer.json(), { notRun: 'unknown' });
+  const response = await fetch(`${address}/receipts`, receipt);
+  t.like(await response.json(), { notRun: 'unknown' });
   t.true(performance.now() - startedAtMs < 4_000);
 });
 
-// The connection breaks after a receipt was sent to its server. It may have been written: a second one
-// would charge the customer twice. The caller is told that it may have run.
+// The connection breaks after a receipt was sent to its server. The receipt may have been written, and a
+// second one would charge the customer twice, so the caller gets an error that says it may have run.
 test('never sends a receipt again after its dispatch', async (t) => {
   const agents = pair();
-  firstCall(agents, () => ({ kind: 'lost', detail: 'reset' }));
+  setFirstCall(agents, () => ({ kind: 'lost', detail: 'reset' }));
   const { address } = await startHarness(t, { agents });
   const response = await fetch(`${address}/receipts`, receipt);
   t.is(response.status, 502);
@@ -83,8 +89,8 @@
   t.is(callCount(agents), 1);
 });
 
-// A server that leaves refuses the slot of a receipt. Nothing was dispatched yet, so that another
-// server may run it, under the one claim.
+// A leaving server refuses the slot for a receipt. Nothing has been dispatched yet, so another server may
+// run it under the same claim.
 test('asks another server for a slot before the dispatch of a receipt', async (t) => {
   const agents = pair();
   let claimCount = 0;
@@ -111,22 +117,23 @@
   t.is(callCount(agents), 1);
 });
 
-test('passes a large body on as it comes', async (t) => {
+test('streams a large body to the server', async (t) => {
   const [agent] = pair() as [FakeAgent];
-  agent.plain = async ({ body }) => plainAnswer(200, String((await text(body as Readable)).length));
+  agent.plain = async ({ body }) =>
+    plainResponse(200, String((await text(body as Readable)).length));
   const { address } = await startHarness(t, { agents: [agent] });
   const body = 'x'.repeat(1_000_000);
   const response = await fetch(`${address}/counter`, { method: 'POST', body });
   t.is(await response.text(), '1000000');
 });
 
-test('sends a streamed body again from its start while all of it is kept', async (t) => {
+test('sends a streamed body again from its start while all of it is buffered', async (t) => {
   const agents = pair();
   const seen: string[] = [];
   agents.forEach((agent) => {
     agent.plain = async ({ body }) => {
       seen.push(await text(body as Readable));
-      return seen.length === 1 ? { kind: 'lost', detail: 'reset' } : plainAnswer(200, 'done');
+      return seen.length === 1 ? { kind: 'lost', detail: 'reset' } : plainResponse(200, 'done');
     };
   });
   const { address } = await startHarness(t, { agents });
@@ -140,7 +147,7 @@
   t.deepEqual(seen, ['first second', 'first second']);
 });
 
-test('does not try again once a streamed body is larger than what is kept', async (t) => {
+test('does not retry once a streamed body is larger than the replay buffer', async (t) => {
   const agents = pair();
   agents.forEach((agent) => {
     agent.plain = async ({ body }) => {
@@ -159,12 +166,12 @@
   t.is(callCount(agents), 1);
 });
 
-// The server dies in the middle of its answer. A caller that sees a clean end would take half a balance
-// list for the whole. Its connection is cut instead, which every HTTP client reports.
-test('cuts the connection when an answer breaks off', async (t) => {
+// The server dies in the middle of its response. On a clean end, the caller would take the partial response
+// as complete. Its connection is aborted instead, which every HTTP client reports as an error.
+test('aborts the connection when a response breaks', async (t) => {
   const [agent] = pair() as [FakeAgent];
   agent.plain = () => ({
-    ...plainAnswer(200, ''),
+    ...plainResponse(200, ''),
     body: Readable.from(
       (async function* half() {
         yield 'half of ';
@@ -178,7 +185,7 @@
   await eventually(t, () => ring.recent(1)[0]?.outcome.startsWith('cut') ?? false);
 });
 
-test('a caller that hangs up ends the call at the server', async (t) => {
+test('a caller that disconnects ends the call at the server', async (t) => {
   const [agent] = pair() as [FakeAgent];
   agent.plain = () => never();
   const { address, side } = await startHarness(t, { agents: [agent] });
@@ -190,7 +197,7 @@
   await eventually(t, () => side.activeCount() === 0);
 });
 
-test('answers at the deadline with what is known', async (t) => {
+test('responds at the deadline with the known state', async (t) => {
   const [agent] = pair() as [FakeAgent];
   agent.plain = () => never();
   const { address } = await startHarness(t, {
@@ -202,13 +209,13 @@
   t.like(await response.json(), { reason: 'deadline-exceeded', notRun: 'unknown' });
 });
 
-test('prefers the server with fewer of its own calls', async (t) => {
+test('prefers the server with fewer calls from this entry', async (t) => {
   const agents = pair();
   const gates: (() => void)[] = [];
   agents.forEach((agent) => {
     agent.plain = () =>
       new Promise((resolve) => {
-        gates.push(() => resolve(plainAnswer(200, 'done')));
+        gates.push(() => resolve(plainResponse(200, 'done')));
       });
   });
   const { address } = await startHarness(t, { agents });
@@ -224,11 +231,12 @@
   await Promise.all(responses);
 });
 
-// A server is gone while its agent lives and refuses at once, as not run. Asked again for each lookup
-// it would use the retry budget up within seconds, and customers would see 503 beside an idle server.
-test('leaves out a server whose agent says that it is gone', async (t) => {
+// A server has died while its agent runs and refuses each call at once, as not run. If it were tried for
+// each lookup, it would exhaust the retry budget within seconds, and callers would get 503 responses while
+// another server is idle.
+test('skips a server whose agent reports that it has died', async (t) => {
   const agents = pair();
-  (agents[0] as FakeAgent).plain = () => refusedAnswer('backend-failed', true);
+  (agents[0] as FakeAgent).plain = () => refusedResponse('backend-failed', true);
   const { address } = await startHarness(t, { agents });
   const statuses: number[] = [];
   for (let count = 0; count < 20; count += 1) {
@@ -238,9 +246,9 @@
   t.true((agents[0] as FakeAgent).plainCalls.length <= 2);
 });
 
-test('asks a doubtful server where no other is left', async (t) => {
+test('uses an unhealthy server if no other is left', async (t) => {
   const [agent] = pair() as [FakeAgent];
-  firstCall([agent], () => refusedAnswer('backend-failed', true));
+  setFirstCall([agent], () => refusedResponse('backend-failed', true));
   const { address } = await startHarness(t, { agents: [agent] });
   t.is((await fetch(`${address}/counter`)).status, 502);
   t.is((await fetch(`${address}/counter`)).status, 200);
--- a/packages/entry/__tests__/strikes.test.ts
+++ b/packages/entry/__tests__/strikes.test.ts
@@ -14,7 +14,7 @@
   instanceId: `agent-of-${attemptId}`,
 });
 
-/** One quarantine object, with the platform's conditions. */
+/** Stores one quarantine object, with the platform's checks for conflicting writes. */
 function createFakePlatform() {
   let stored: StoredObject | undefined;
   const state = { isDown: false, racing: 0, stored: () => stored };
@@ -49,17 +49,21 @@
 }
 
 function start(fake: ReturnType<typeof createFakePlatform>) {
-  const told: Strike[] = [];
+  const sentStrikes: Strike[] = [];
   const strikes = createStrikes({
     platform: fake.platform,
-    tellPeers: (sent) => told.push(...sent),
+    tellPeers: (sent) => sentStrikes.push(...sent),
     logger: silentLogger,
   });
-  return { strikes, told, verdict: () => strikes.verdict(document, 'poison').kind };
+  return {
+    strikes,
+    sentStrikes,
+    verdict: () => strikes.verdict(document, 'poison').kind,
+  };
 }
 
-// The poison killed one server through each of two entries. Neither alone has seen two strikes, so that
-// each would give it a third server. The platform's object unites what they saw.
+// The same request crashed one server through each of two entries. Neither entry has seen two strikes
+// itself, so each would send it to a third server. The object in the platform combines their strikes.
 test('strikes of two entries add up through the platform', async (t) => {
   const fake = createFakePlatform();
   const first = start(fake);
@@ -71,11 +75,11 @@
   await eventually(t, () => fake.state.stored()?.version === 2);
   first.strikes.mergeRecord(fake.state.stored()?.value);
   t.is(first.verdict(), 'quarantined');
-  t.deepEqual(first.told, []);
+  t.deepEqual(first.sentStrikes, []);
 });
 
-// The platform is down, and the caller's next try reaches another entry. Without word of the strikes
-// that entry would let the poison kill more servers. It is told directly.
+// The platform is down, and the caller's next try reaches another entry. Without the strikes, that entry
+// would let the request crash more servers, so they are sent to it directly.
 test('strikes go to the peers while the platform is down', async (t) => {
   const fake = createFakePlatform();
   fake.state.isDown = true;
@@ -83,13 +87,13 @@
   const second = start(fake);
   first.strikes.report(strikeOf('a'));
   first.strikes.report(strikeOf('b'));
-  await eventually(t, () => first.told.length === 2);
-  second.strikes.receive(first.told);
-  second.strikes.receive(first.told);
+  await eventually(t, () => first.sentStrikes.length === 2);
+  second.strikes.receive(first.sentStrikes);
+  second.strikes.receive(first.sentStrikes);
   t.is(second.verdict(), 'quarantined');
 });
 
-test('a request that completes was a bystander', async (t) => {
+test('a request that completes loses its strikes', async (t) => {
   const fake = createFakePlatform();
   const { strikes, verdict } = start(fake);
   strikes.report(strikeOf('a'));
--- a/packages/entry/__tests__/support/fakeAgents.ts
+++ b/packages/entry/__tests__/support/fakeAgents.ts
@@ -1,4 +1,4 @@
-/** Agents behind the `AgentApi` interface, each with behaviour that a test replaces. */
+/** Fake agents behind the `AgentApi` interface, whose behaviour a test can replace. */
 import { Readable } from 'node:stream';
 import { errAsync, okAsync, ResultAsync } from 'neverthrow';
 import type {
@@ -22,7 +22,7 @@
   frames: (request: StreamRequest, signal: AbortSignal) => AsyncIterable<StreamFrame>;
   plain: (call: PlainCall) => PlainAnswer | AgentCallError | Promise<PlainAnswer | AgentCallError>;
   cancel: () => AgentCallError | undefined;
-  /** Attempts that hold memory here: granted and neither ended nor cancelled. */
+  /** Ids of attempts that hold memory here: granted, and neither ended nor cancelled. */
   held: Set<string>;
   cancelled: string[];
   streamed: StreamRequest[];
@@ -77,7 +77,7 @@
       load,
     }),
     frames: (request) => wholeAnswer(request),
-    plain: () => plainAnswer(200, 'plain answer'),
+    plain: () => plainResponse(200, 'plain answer'),
     cancel: () => undefined,
     held: new Set(),
     cancelled: [],
@@ -88,13 +88,13 @@
   return agent;
 }
 
-/** Yields the words behind what was emitted already, then the end. */
+/** Yields the words after those already emitted, then the end marker. */
 export async function* wholeAnswer(request: StreamRequest): AsyncGenerator<StreamFrame> {
   yield* tokens(request, words.length);
   yield endOf(request);
 }
 
-/** Yields the words up to `count` in all and no end. */
+/** Yields the words after those already emitted, up to `count` in total, without an end marker. */
 export async function* tokens(request: StreamRequest, count: number): AsyncGenerator<StreamFrame> {
   const start = request.emitted.tokenCount;
   for (let offset = start; offset < count; offset += 1) {
@@ -111,7 +111,7 @@
   return { kind: 'end', attemptId, offset: words.length, finishReason: 'stop' };
 }
 
-export function plainAnswer(status: number, text: string): PlainAnswer {
+export function plainResponse(status: number, text: string): PlainAnswer {
   return { status, headers: { 'content-type': 'text/plain' }, body: Readable.from([text]) };
 }
 
@@ -121,14 +121,14 @@
 
 const resolvers: unknown[] = [];
 
-/** An answer that does not come. */
+/** A response that never comes. */
 export function never<Value>(): Promise<Value> {
   return new Promise<Value>((resolve) => {
     resolvers.push(resolve);
   });
 }
 
-/** Never ends by itself; ends when the signal aborts. */
+/** Yields nothing and ends only when the signal aborts. */
 export async function* untilAborted(signal: AbortSignal): AsyncGenerator<StreamFrame> {
   yield* [];
   await new Promise<void>((resolve) => {
@@ -145,8 +145,8 @@
   return 'kind' in value && errorKinds.includes(String(value.kind));
 }
 
-/** Settles as cancelled when the caller aborts, as a real call does. */
-function answer<Value extends object>(
+/** Resolves as cancelled when the caller aborts, as a real call does. */
+function respond<Value extends object>(
   produce: () => Value | AgentCallError | Promise<Value | AgentCallError>,
   signal?: AbortSignal,
 ): ResultAsync<Value, AgentCallError> {
@@ -159,7 +159,7 @@
   );
 }
 
-/** One `AgentApi` over all of them; an unknown address refuses the connection. */
+/** Creates one `AgentApi` for all agents; a call to an unknown address fails as not sent. */
 export function createFakeAgentApi(agents: readonly FakeAgent[]): AgentApi {
   const find = (address: string) =>
     agents.find(({ instance }) => instance.innerAddress === address);
@@ -172,11 +172,11 @@
   };
   return {
     bid: (address, _request, { signal }) =>
-      withAgent(address, (agent) => answer(() => agent.bid(), signal)),
+      withAgent(address, (agent) => respond(() => agent.bid(), signal)),
     reserve: (address, request, { signal }) =>
       withAgent(address, (agent) => {
         agent.held.add(request.attemptId);
-        return answer(async () => {
+        return respond(async () => {
           const reply = await agent.reserve(request.attemptId);
           if (reply.kind === 'refused') {
             agent.held.delete(request.attemptId);
@@ -185,7 +185,7 @@
         }, signal);
       }),
     prefill: (address, request, { signal }) =>
-      withAgent(address, (agent) => answer(() => agent.prefill(request.attemptId), signal)),
+      withAgent(address, (agent) => respond(() => agent.prefill(request.attemptId), signal)),
     cancel: (address, { attemptId }) =>
       withAgent(address, (agent) => {
         const failure = agent.cancel();
@@ -210,7 +210,7 @@
     plain: (address, call) =>
       withAgent(address, (agent) => {
         agent.plainCalls.push(call);
-        return answer(() => agent.plain(call), call.signal);
+        return respond(() => agent.plain(call), call.signal);
       }),
   };
 }
--- a/packages/entry/__tests__/support/harness.ts
+++ b/packages/entry/__tests__/support/harness.ts
@@ -1,4 +1,4 @@
-/** An entry's callers' side over fake agents, on a loopback port. */
+/** Runs an entry's callers' side on a loopback port, with fake agents. */
 import type { ExecutionContext } from 'ava';
 import { errAsync, okAsync } from 'neverthrow';
 import { serviceDocumentSchema, type ServiceDocument } from '@bluebellhitch/document';
@@ -62,7 +62,7 @@
   ],
 };
 
-/** Grants every claim. */
+/** A claim store that grants every claim. */
 export function createOpenClaims(): ClaimStore {
   return {
     take: ({ key, requestId, attemptId }) =>
@@ -168,7 +168,7 @@
   };
 }
 
-/** Strikes of one entry that are shared with nobody. */
+/** Strikes of one entry that are not shared with others. */
 export function createLocalStrikes(): Strikes {
   const unavailable = { kind: 'unavailable' as const, detail: 'no platform in this test' };
   return createStrikes({
@@ -186,7 +186,7 @@
   return errAsync(error);
 }
 
-/** Posts a chat completion. */
+/** Sends a chat completion request. */
 export function chat(
   address: string,
   body: Record<string, unknown> = {},
@@ -204,7 +204,7 @@
   });
 }
 
-/** The `data` lines of an event stream; JSON is parsed. */
+/** Returns the `data` lines of an event stream, with JSON parsed. */
 export function eventsOf(text: string): unknown[] {
   return text
     .split('\n')
--- a/packages/entry/src/admission.ts
+++ b/packages/entry/src/admission.ts
@@ -1,4 +1,4 @@
-/** What refuses a request before any attempt: quarantine and rate limits, for model and plain traffic. */
+/** Admission checks before any attempt: quarantine and rate limits, for model and plain requests. */
 import { rateKey } from '@bluebellhitch/decisions';
 import type { ServiceDocument, TrafficClass } from '@bluebellhitch/document';
 import type { RequestOrigin } from '@bluebellhitch/protocol';
@@ -12,17 +12,17 @@
 import { retryCauses } from '@bluebellhitch/telemetry';
 import type { RequestContext } from './requestContext';
 
-/** The part of a request that admission looks at. */
+/** The part of a request that admission depends on. */
 export interface AdmissibleRequest {
   document: ServiceDocument;
   trafficClass: TrafficClass;
   origin: RequestOrigin;
-  /** Absent where the request cannot be recognised. */
+  /** Undefined if the request cannot be recognised when it is sent again. */
   fingerprint?: string;
 }
 
 export interface QuarantineCheck {
-  /** The request may run, but beside no other one that was struck. */
+  /** The request has strikes: it may run, but not on the same server as another one with strikes. */
   struck: boolean;
   refusal?: Refusal;
 }
@@ -51,7 +51,7 @@
   }
 }
 
-/** A refusal where the request's class has used up its rate. */
+/** Returns a refusal if the request's class has reached its rate limit. */
 export function checkRate(
   context: Pick<RequestContext, 'runtimes' | 'instances'>,
   { document, trafficClass, origin }: AdmissibleRequest,
@@ -76,7 +76,7 @@
       });
 }
 
-/** Takes one retry out of the service's budget and counts where there is none. */
+/** Takes one retry from the service's budget; counts in the metrics if the budget is exhausted. */
 export function takeRetry(
   context: Pick<RequestContext, 'runtimes' | 'metrics'>,
   service: string,
--- a/packages/entry/src/agentFailures.ts
+++ b/packages/entry/src/agentFailures.ts
@@ -1,4 +1,4 @@
-/** Translates what agents refuse and how calls to them fail into the entry's own terms. */
+/** Maps refusals by agents and failed calls to agents to attempt failures. */
 import {
   agentRefusalReasons,
   type AgentRefusal,
@@ -27,7 +27,7 @@
   [agentRefusalReasons.notReady]: refusalReasons.noCapacity,
 };
 
-/** What part of the work a call asked for. */
+/** What a failed call had asked for. */
 export interface FailedCall {
   /** Whether the call gave the backend server work to do. */
   dispatched: boolean;
@@ -52,7 +52,7 @@
   };
 }
 
-/** A call that only asks for a lease runs nothing, however it fails. */
+/** Maps a failed call. A call that only requests a lease runs nothing, however it fails. */
 export function failureOfCall(error: AgentCallError, { dispatched }: FailedCall): AttemptFailure {
   const notRun = dispatched ? notRunAfter(error) : true;
   return {
--- a/packages/entry/src/baselinePlacement.ts
+++ b/packages/entry/src/baselinePlacement.ts
@@ -1,6 +1,6 @@
 /**
- * Places an attempt by one of the baselines that exist only for measurements. Those that prefill first
- * reserve decode memory afterwards, and try other decode workers where one refuses.
+ * Places an attempt by one of the baseline policies, which exist only for measurements. Policies that
+ * prefill first reserve decode memory afterwards, and try other decode workers if one refuses.
  */
 import {
   nominalExpectation,
@@ -33,7 +33,7 @@
 } from './prefillStage';
 
 export type BaselineOutcome =
-  /** With a prefill that is done already, where the policy prefills first. */
+  /** With the finished prefill, if the policy prefills first. */
   { kind: 'placed'; placement: Placement; prefill?: FinishedPrefill } | PlacementFailure;
 
 export interface BaselineOptions {
@@ -43,28 +43,29 @@
   claim: ClaimGuard | undefined;
 }
 
-/** Decode workers in the order of preference; all share the prefill worker. */
-interface Route {
+/** Choices with their decode workers in order of preference; all use the same prefill worker. */
+interface RankedChoices {
   choices: ReserveChoice[];
   workers: ChosenWorker[];
 }
 
-/** As many decode workers as bids are asked for. */
-const triedWorkers = 3;
+/** The same number of decode workers as bids are requested from by default. */
+const maxDecodeWorkers = 3;
 
 export async function placeByBaseline(options: BaselineOptions): Promise<BaselineOutcome> {
   const { run, attemptId, plan } = options;
-  const route = plan.workers === 'bids' ? await routeByBids(run) : routeByRank(run, plan.workers);
-  if ('kind' in route) {
-    return route;
+  const ranked =
+    plan.workers === 'bids' ? await rankByBids(run) : rankWithoutBids(run, plan.workers);
+  if ('kind' in ranked) {
+    return ranked;
   }
   if (plan.reservesFirst) {
-    return reserveAny(run, attemptId, route);
+    return reserveAny(run, attemptId, ranked);
   }
-  return prefillThenReserve(options, route);
+  return prefillThenReserve(options, ranked);
 }
 
-async function routeByBids(run: ModelRun): Promise<Route | PlacementFailure> {
+async function rankByBids(run: ModelRun): Promise<RankedChoices | PlacementFailure> {
   const [decodeBids, prefillBids] = await collectAllBids(run);
   const first = choose(run, decodeBids, prefillBids);
   if (first.kind === 'refuse') {
@@ -85,7 +86,10 @@
   return next.kind === 'refuse' ? [] : [next, ...furtherChoices(run, next, remaining, prefillBids)];
 }
 
-function routeByRank(run: ModelRun, by: 'random' | 'last-hint'): Route | PlacementFailure {
+function rankWithoutBids(
+  run: ModelRun,
+  by: 'random' | 'last-hint',
+): RankedChoices | PlacementFailure {
   const { context, request, emitted } = run;
   const { members, byId } = context.runtimes.members(request.document);
   const rank = (need: 'decode' | 'prefill') =>
@@ -100,12 +104,12 @@
     }).flatMap(({ id }) => byId.get(id) ?? []);
   const wantsPrefill = emitted.tokenCount === 0 && request.promptTokens > localPrefillTokens;
   const prefill = wantsPrefill ? rank(workerNeeds.prefill)[0] : undefined;
-  const decode = rank(workerNeeds.decode).slice(0, triedWorkers);
+  const decode = rank(workerNeeds.decode).slice(0, maxDecodeWorkers);
   if (decode.length === 0) {
     return refusedChoice({ kind: 'refuse', reason: 'no-instances', retryAfterMs: 1_000 });
   }
   return {
-    choices: decode.map((instance) => unjudgedChoice(run, instance, prefill)),
+    choices: decode.map((instance) => nominalChoice(run, instance, prefill)),
     workers: [...decode, ...(prefill === undefined ? [] : [prefill])].map((instance) => ({
       instanceId: instance.id,
       instance,
@@ -113,7 +117,7 @@
   };
 }
 
-function unjudgedChoice(
+function nominalChoice(
   run: ModelRun,
   decode: PlatformInstance,
   prefill: PlatformInstance | undefined,
@@ -138,7 +142,7 @@
 async function reserveAny(
   run: ModelRun,
   attemptId: string,
-  { choices, workers }: Route,
+  { choices, workers }: RankedChoices,
 ): Promise<Exclude<BaselineOutcome, { kind: 'completed' }>> {
   const [choice, ...others] = choices;
   if (choice === undefined) {
@@ -161,19 +165,19 @@
 
 async function prefillThenReserve(
   { run, attemptId, claim }: BaselineOptions,
-  route: Route,
+  ranked: RankedChoices,
 ): Promise<BaselineOutcome> {
-  const prefilled = await prefillUnreserved(run, attemptId, claim, route);
+  const prefilled = await prefillBeforeReservation(run, attemptId, claim, ranked);
   if (prefilled !== undefined && prefilled.kind !== 'prefilled') {
     return prefilled;
   }
   const prefill = prefilled?.prefill;
-  const choices = route.choices.map((choice) => ({
+  const choices = ranked.choices.map((choice) => ({
     ...choice,
     prefill: 'local' as const,
     expected: { ...choice.expected, neededInMs: 0, waitLimitMs: remainingWaitMs(run, choice) },
   }));
-  const placed = await reserveAny(run, attemptId, { ...route, choices });
+  const placed = await reserveAny(run, attemptId, { ...ranked, choices });
   if (placed.kind === 'placed') {
     return { ...placed, prefill };
   }
@@ -184,12 +188,12 @@
   return placed;
 }
 
-/** Undefined where the decode worker prefills itself. */
-async function prefillUnreserved(
+/** Runs the prefill without a decode reservation; undefined if the decode worker runs the prefill itself. */
+async function prefillBeforeReservation(
   run: ModelRun,
   attemptId: string,
   claim: ClaimGuard | undefined,
-  { choices, workers }: Route,
+  { choices, workers }: RankedChoices,
 ): Promise<{ kind: 'prefilled'; prefill: FinishedPrefill } | PlacementFailure | undefined> {
   const [choice] = choices;
   if (choice === undefined || choice.prefill === 'local') {
@@ -221,7 +225,7 @@
   return { ...expected, usableInMs: 0, neededInMs: 0 };
 }
 
-/** Until the first token is late: longer would only hold the queue up. */
+/** Time left until the first token misses its target: a longer wait would only block the queue. */
 function remainingWaitMs(run: ModelRun, { expected }: ReserveChoice): number {
   const { document, arrivedAtMs } = run.request;
   const remainingMs = document.targets.firstTokenMs - (monotonicNowMs() - arrivedAtMs);
--- a/packages/entry/src/bidRounds.ts
+++ b/packages/entry/src/bidRounds.ts
@@ -1,4 +1,4 @@
-/** Rounds of bids for one attempt: usually one, and a second where nobody of the first can serve. */
+/** Rounds of bids for one attempt: usually one, and a second if no candidate of the first can serve. */
 import { workerNeeds } from '@bluebellhitch/decisions';
 import {
   collectBids,
@@ -18,12 +18,12 @@
   prefill: CollectedBids;
 }
 
-/** Prompts up to this size are prefilled where they decode; asking prefill workers would be in vain. */
+/** Prompts up to this size are prefilled by the decode worker, so prefill workers need not be asked. */
 export const localPrefillTokens = 256;
 /**
- * Where nobody that was asked answers or can work, others are asked as well: it is no retry, since
- * nothing was dispatched, and a budget for retries would end with the first paused server. Late answers
- * still count: when all of them are late, the machines are busy rather than gone.
+ * Collects bids, and asks further candidates if none of the first replies or can serve. That is not a
+ * retry, since nothing was dispatched, and the first paused server would exhaust a retry budget. Late
+ * bids still count: if all of them are late, the machines are busy rather than unavailable.
  */
 export async function collectUsableBids(run: ModelRun): Promise<BidsByNeed> {
   const first = await collectRound(run);
@@ -31,37 +31,39 @@
   if (hasUsable(first) || run.signal.aborted) {
     return bidsOf(first);
   }
-  const others = hasDecodeServer(query, excludedInstances(run)) ? await collectRound(run) : noRound;
+  const others = hasDecodeServer(query, excludedInstances(run))
+    ? await collectRound(run)
+    : emptyRound;
   const rounds = [others, first];
   if (rounds.every(({ decode }) => decode.bids.length === 0)) {
-    await anyBid(rounds);
+    await waitForAnyBid(rounds);
   }
   const [best] = [...rounds.filter(hasUsable), ...rounds.filter(hasBids), first] as [BidRound];
   return bidsOf(best);
 }
 
-/** Bids of decode and prefill workers, of the first round in which any decode worker answers. */
+/** Collects one round of bids, including late ones; waits for a late bid if no decode worker replied in time. */
 export async function collectAllBids(run: ModelRun): Promise<BidsByNeed> {
   const round = await collectRound(run);
   if (!hasBids(round)) {
-    await round.decode.late;
+    await round.decode.bidReceived;
   }
   return bidsOf(round);
 }
 
-const noRound: BidRound = { decode: noBids, prefill: noBids };
+const emptyRound: BidRound = { decode: noBids, prefill: noBids };
 const hasBids = ({ decode }: BidRound) => decode.bids.length > 0;
 const hasUsable = ({ decode }: BidRound) =>
   decode.bids.some(({ bid }) => bid.usableInMs !== undefined);
 
-/** Resolves with the first bid of any round, or when all rounds have settled without one. */
-async function anyBid(rounds: readonly BidRound[]): Promise<void> {
+/** Resolves on the first bid of any round, or when all rounds have ended without one. */
+async function waitForAnyBid(rounds: readonly BidRound[]): Promise<void> {
   await new Promise<void>((resolve) => {
-    const lates = rounds.map(({ decode }) => decode.late);
-    lates.forEach((late) => {
-      void late.then((hasBid) => hasBid && resolve());
+    const promises = rounds.map(({ decode }) => decode.bidReceived);
+    promises.forEach((promise) => {
+      void promise.then((hasBid) => hasBid && resolve());
     });
-    void Promise.all(lates).then(() => resolve());
+    void Promise.all(promises).then(() => resolve());
   });
 }
 
@@ -70,9 +72,9 @@
 }
 
 async function collectRound(run: ModelRun): Promise<BidRound> {
-  // Engines resume from text, not from an imported KV cache.
-  const resumes = run.emitted.tokenCount > 0;
-  const wantsPrefill = !resumes && run.request.promptTokens > localPrefillTokens;
+  // Engines continue a response from its text, not from an imported KV cache.
+  const isContinuation = run.emitted.tokenCount > 0;
+  const wantsPrefill = !isContinuation && run.request.promptTokens > localPrefillTokens;
   const [decode, prefill] = await Promise.all([
     collectBids(run, workerNeeds.decode),
     wantsPrefill ? collectBids(run, workerNeeds.prefill) : noBids,
--- a/packages/entry/src/candidateBids.ts
+++ b/packages/entry/src/candidateBids.ts
@@ -1,4 +1,4 @@
-/** Asks the candidates of a request for bids, in parallel and for a short time only. */
+/** Requests bids from the candidates of a request, in parallel and with a short timeout. */
 import {
   prefixKey,
   type Candidate,
@@ -11,7 +11,7 @@
 import type { AgentCallError } from './agentApi';
 import type { ModelRun } from './modelTypes';
 import { noteCallError } from './serverHealth';
-import { doubtfulServers, forbiddenServers, selectServers } from './serverSelection';
+import { unhealthyServers, forbiddenServers, selectServers } from './serverSelection';
 
 /** A bid and the instance that made it. */
 export interface InstanceBid extends CandidateBid {
@@ -19,18 +19,18 @@
 }
 
 export interface CollectedBids {
-  /** Grows while bids still come in. */
+  /** Bids received so far; late ones are added. */
   bids: InstanceBid[];
-  /** Candidates asked; more than `bids` where some did not answer. */
+  /** Candidates that were asked; more than `bids` if some did not reply. */
   asked: Candidate[];
-  /** Whether any bid comes at all; settles with the first one, or when none can come any more. */
-  late: Promise<boolean>;
+  /** Resolves to true on the first bid, or to false when all calls have ended without one. */
+  bidReceived: Promise<boolean>;
 }
 
-/** What a need gets that nobody is asked for. */
-export const noBids: CollectedBids = { bids: [], asked: [], late: Promise.resolve(false) };
+/** Result for a need for which no candidate is asked. */
+export const noBids: CollectedBids = { bids: [], asked: [], bidReceived: Promise.resolve(false) };
 
-/** Selects candidates that serve the need and collects what they answer in time. */
+/** Selects candidates that serve the need and collects their bids that arrive in time. */
 export async function collectBids(run: ModelRun, need: WorkerNeed): Promise<CollectedBids> {
   const { context, request } = run;
   const { document } = request;
@@ -44,7 +44,7 @@
   });
   const { byId } = context.runtimes.members(document);
   const instances = asked.flatMap(({ instanceId }) => byId.get(instanceId) ?? []);
-  const collected = await askInTime(run, instances);
+  const collected = await collectWithinTimeout(run, instances);
   if (collected.bids.length === 0) {
     const { unready } = context.runtimes.of(document.service);
     asked.forEach(({ instanceId }) => unready.mark(instanceId, monotonicNowMs()));
@@ -52,20 +52,20 @@
   return { asked, ...collected };
 }
 
-/** Instances that a choice without bids leaves out. */
+/** Instances that a choice without bids excludes. */
 export function excludedInstances(run: ModelRun): Set<string> {
   const query = { context: run.context, run, document: run.request.document };
-  return new Set([...forbiddenServers(query), ...doubtfulServers(query)]);
+  return new Set([...forbiddenServers(query), ...unhealthyServers(query)]);
 }
 
 /**
- * Waits for all, but not much longer than the first takes: a paused agent must not slow others. The calls
- * go on after that, since under load the first answers themselves may be late.
+ * Waits for all bids, but not much longer than the first one takes: a paused agent must not delay the
+ * request. The calls continue after that, since under load even the first bids may be late.
  */
-function askInTime(
+function collectWithinTimeout(
   run: ModelRun,
   instances: readonly PlatformInstance[],
-): Promise<Pick<CollectedBids, 'bids' | 'late'>> {
+): Promise<Pick<CollectedBids, 'bids' | 'bidReceived'>> {
   const { bidMs, bidGraceMs } = run.context.timeouts;
   const bids: InstanceBid[] = [];
   if (instances.length === 0) {
@@ -74,16 +74,16 @@
   return new Promise((resolve) => {
     const startedAtMs = monotonicNowMs();
     let pendingCount = instances.length;
-    let settleLate: (hasBid: boolean) => void = () => undefined;
-    const late = new Promise<boolean>((settle) => {
-      settleLate = settle;
+    let resolveBidReceived: (hasBid: boolean) => void = () => undefined;
+    const bidReceived = new Promise<boolean>((settle) => {
+      resolveBidReceived = settle;
     });
     let timer = setTimeout(finish, bidMs);
     function finish(): void {
       clearTimeout(timer);
-      resolve({ bids, late });
+      resolve({ bids, bidReceived });
     }
-    function onAnswer(bid: InstanceBid | undefined): void {
+    function onReply(bid: InstanceBid | undefined): void {
       pendingCount -= 1;
       if (bid !== undefined) {
         bids.push(bid);
@@ -96,16 +96,19 @@
         timer = setTimeout(finish, Math.min(graceMs, bidMs));
       }
       if (pendingCount === 0 || bids.length > 0) {
-        settleLate(bids.length > 0);
+        resolveBidReceived(bids.length > 0);
       }
     }
     instances.forEach((instance) => {
-      void ask(run, instance).then(onAnswer);
+      void requestBid(run, instance).then(onReply);
     });
   });
 }
 
-async function ask(run: ModelRun, instance: PlatformInstance): Promise<InstanceBid | undefined> {
+async function requestBid(
+  run: ModelRun,
+  instance: PlatformInstance,
+): Promise<InstanceBid | undefined> {
   const { context, request } = run;
   const sentAtMs = monotonicNowMs();
   const reply = await context.agents.bid(
--- a/packages/entry/src/claimStage.ts
+++ b/packages/entry/src/claimStage.ts
@@ -1,5 +1,5 @@
 /**
- * At-most-once claims of requests that may not be repeated. The claim is taken right before the first
+ * At-most-once claims of requests that must not be repeated. The claim is taken right before the first
  * dispatch, and settled once when the request ends.
  */
 import type { Claim, ClaimError, ClaimOutcome, ClaimStore } from '@bluebellhitch/objects';
@@ -16,22 +16,22 @@
 }
 
 /** How a request with a claim ended. */
-export type ClaimedEnd = 'not-run' | 'ran' | 'unknown';
+export type ClaimResolution = 'not-run' | 'ran' | 'unknown';
 
 export interface ClaimGuard {
-  /** Takes the claim, unless it is held already; a refusal where that is not possible. */
+  /** Takes the claim, unless it is held already; returns a refusal if that is not possible. */
   take(attemptId: string): Promise<Refusal | undefined>;
   /** Whether a dispatch under the claim is still allowed; reads the clock. */
   allowsDispatch(): boolean;
-  /** Releases the claim or records the end. Call once, when nothing will be dispatched any more. */
-  settle(end: ClaimedEnd): Promise<void>;
+  /** Releases the claim or records how the request ended. Call once, after the last possible dispatch. */
+  settle(resolution: ClaimResolution): Promise<void>;
 }
 
 /** Callers repeat a request within hours, if at all. */
 const defaultExpiresInMs = 24 * 60 * 60 * 1000;
 const duplicateRetryAfterMs = 2_000;
 
-/** Creates the guard of one request. */
+/** Creates the claim guard of one request. */
 export function createClaimGuard(options: ClaimGuardOptions): ClaimGuard {
   const { claims, metrics, claimKey, requestId, expiresInMs = defaultExpiresInMs } = options;
   let held: Claim | undefined;
@@ -63,35 +63,36 @@
       const taken = await claims.take({ key: claimKey, requestId, attemptId, expiresInMs });
       return taken.match(onOutcome, onError);
     },
-    // A process paused after it took the claim may resume after the claim expired and another entry
-    // ran the request: dispatching then would run it twice.
+    // A process that is paused after it took the claim may resume after the claim has expired and
+    // another entry has run the request: dispatching then would run it twice.
     allowsDispatch: () => held === undefined || monotonicNowMs() < held.dispatchBeforeMs,
-    async settle(end) {
+    async settle(resolution) {
       if (held === undefined) {
         return;
       }
-      const change = end === 'not-run' ? claims.release(held) : claims.finish(held, end);
+      const change =
+        resolution === 'not-run' ? claims.release(held) : claims.finish(held, resolution);
       held = undefined;
       const changed = await change;
-      const released = end === 'not-run' && changed.isOk();
+      const released = resolution === 'not-run' && changed.isOk();
       metrics.countClaim(released ? claimOutcomes.released : claimOutcomes.kept);
     },
   };
 }
 
 const duplicateStates = {
-  running: { told: 'is running', notRun: 'unknown' },
-  ran: { told: 'has run', notRun: false },
-  unknown: { told: 'may have run', notRun: 'unknown' },
+  running: { stateText: 'is running', notRun: 'unknown' },
+  ran: { stateText: 'has run', notRun: false },
+  unknown: { stateText: 'may have run', notRun: 'unknown' },
 } as const;
 
-/** `notRun` is about the work that the key names: a caller that reads `true` would send it again. */
+/** `notRun` describes the key's original request: on `true` the caller would send it again. */
 function duplicateRefusal(outcome: Extract<ClaimOutcome, { kind: 'held' }>): Refusal {
-  const { told, notRun } = duplicateStates[outcome.state];
+  const { stateText, notRun } = duplicateStates[outcome.state];
   return createRefusal({
     reason: refusalReasons.duplicate,
     notRun,
-    detail: `request ${outcome.requestId} with this Idempotency-Key ${told}`,
+    detail: `request ${outcome.requestId} with this Idempotency-Key ${stateText}`,
     retryAfterMs: outcome.state === 'running' ? duplicateRetryAfterMs : undefined,
   });
 }
--- a/packages/entry/src/decodeReservation.ts
+++ b/packages/entry/src/decodeReservation.ts
@@ -1,10 +1,10 @@
-/** The message that asks a decode worker for its memory. */
+/** Builds the message that reserves memory at a decode worker. */
 import type { ReserveExpectation } from '@bluebellhitch/decisions';
 import type { ReserveRequest } from '@bluebellhitch/protocol';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { ModelRun } from './modelTypes';
 
-const resumeWaitLimitMs = 5_000;
+const continuationWaitLimitMs = 5_000;
 
 export function decodeReservation(
   run: ModelRun,
@@ -12,10 +12,10 @@
   expected: ReserveExpectation,
 ): ReserveRequest {
   const { context, request, emitted } = run;
-  const resumes = emitted.tokenCount > 0;
+  const isContinuation = emitted.tokenCount > 0;
   const nowMs = monotonicNowMs();
   const remainingMs = Math.max(0, request.deadlineAtMs - nowMs);
-  const waitLimitMs = resumes ? resumeWaitLimitMs : Math.max(0, expected.waitLimitMs);
+  const waitLimitMs = isContinuation ? continuationWaitLimitMs : Math.max(0, expected.waitLimitMs);
   return {
     entryId: context.entryId,
     entryIncarnation: context.entryIncarnation,
@@ -33,7 +33,7 @@
   };
 }
 
-/** Not positive tells the agent that the target is missed already and only the wait limit counts. */
+/** A value of zero or less tells the agent that the target is missed and only the wait limit applies. */
 function firstTokenDeadlineInMs(
   run: ModelRun,
   expected: ReserveExpectation,
--- a/packages/entry/src/heartbeats.ts
+++ b/packages/entry/src/heartbeats.ts
@@ -1,13 +1,13 @@
 /**
- * One heartbeat for each agent that this entry shares work with, and only while it does. It renews all
- * leases that the entry holds there.
+ * Sends one periodic heartbeat to each agent at which this entry has work, and only while it has. The
+ * heartbeat renews all leases that the entry holds there.
  */
 import { setMaxListeners } from 'node:events';
 import type { HeartbeatReply } from '@bluebellhitch/protocol';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { AgentApi } from './agentApi';
 
-/** Leases of an agent end after this long without a heartbeat. */
+/** Leases at an agent lapse after this long without a heartbeat, in ms. */
 export const leaseDurationMs = 2_000;
 
 export interface HeartbeatsOptions {
@@ -15,33 +15,33 @@
   entryId: string;
   entryIncarnation: string;
   intervalMs?: number;
-  /** Duration of the agents' leases. */
+  /** Duration of the agents' leases, in ms. */
   leaseMs?: number;
   onReply?: (address: string, reply: HeartbeatReply) => void;
 }
 
-/** A share in the heartbeat with one agent. */
+/** A counted reference to the heartbeat of one agent. */
 export interface HeartbeatShare {
-  /** Aborts when the leases at this agent have ended, or may have. */
+  /** Aborts when the leases at this agent have lapsed, or may have. */
   lapsed: AbortSignal;
-  /** Whether leases at the agent may still be relied on; reads the clock. */
+  /** Whether leases at the agent are certainly still valid; reads the clock. */
   isCurrent(): boolean;
-  /** Idempotent; the heartbeat stops with its last share. */
+  /** Idempotent; the heartbeat stops when its last share is released. */
   release(): void;
 }
 
 export interface Heartbeats {
   share(address: string): HeartbeatShare;
-  /** Agents that heartbeats are sent to now. */
+  /** Addresses of the agents that heartbeats are sent to now. */
   addresses(): string[];
   stop(): void;
 }
 
-interface Pair {
+interface AgentHeartbeat {
   address: string;
   shareCount: number;
-  lapse: AbortController;
-  /** When the last heartbeat that the agent answered was sent. */
+  lapseController: AbortController;
+  /** Monotonic time at which the last heartbeat with a reply was sent. */
   renewedAtMs: number;
   incarnation?: string;
   timer: NodeJS.Timeout;
@@ -52,86 +52,87 @@
 export function createHeartbeats(options: HeartbeatsOptions): Heartbeats {
   const { agents, entryId, entryIncarnation, onReply } = options;
   const { intervalMs = 400, leaseMs = leaseDurationMs } = options;
-  const pairs = new Map<string, Pair>();
+  const activeHeartbeats = new Map<string, AgentHeartbeat>();
 
-  function isCurrent(pair: Pair): boolean {
-    // A paused process resumes with its timers late: its leases may have lapsed meanwhile, and the
-    // memory behind them may serve others. Without this check it would stream from a slot it lost.
-    if (monotonicNowMs() - pair.renewedAtMs >= leaseMs) {
-      pair.lapse.abort();
+  function isCurrent(heartbeat: AgentHeartbeat): boolean {
+    // When a paused process resumes, its timers are late: its leases may have lapsed meanwhile, and their
+    // memory may serve other requests. Without this check it would stream from a slot that it has lost.
+    if (monotonicNowMs() - heartbeat.renewedAtMs >= leaseMs) {
+      heartbeat.lapseController.abort();
     }
-    return !pair.lapse.signal.aborted;
+    return !heartbeat.lapseController.signal.aborted;
   }
 
-  function end(pair: Pair): void {
-    clearInterval(pair.timer);
-    if (pairs.get(pair.address) === pair) {
-      pairs.delete(pair.address);
+  function stopHeartbeat(heartbeat: AgentHeartbeat): void {
+    clearInterval(heartbeat.timer);
+    if (activeHeartbeats.get(heartbeat.address) === heartbeat) {
+      activeHeartbeats.delete(heartbeat.address);
     }
   }
 
-  function apply(pair: Pair, reply: HeartbeatReply, sentAtMs: number): void {
-    const restarted = pair.incarnation !== undefined && pair.incarnation !== reply.incarnation;
-    pair.incarnation = reply.incarnation;
+  function applyReply(heartbeat: AgentHeartbeat, reply: HeartbeatReply, sentAtMs: number): void {
+    const restarted =
+      heartbeat.incarnation !== undefined && heartbeat.incarnation !== reply.incarnation;
+    heartbeat.incarnation = reply.incarnation;
     if (restarted) {
-      pair.lapse.abort();
+      heartbeat.lapseController.abort();
       return;
     }
-    pair.renewedAtMs = sentAtMs;
-    onReply?.(pair.address, reply);
+    heartbeat.renewedAtMs = sentAtMs;
+    onReply?.(heartbeat.address, reply);
   }
 
-  async function beat(pair: Pair): Promise<void> {
-    if (!isCurrent(pair)) {
-      end(pair);
+  async function sendHeartbeat(heartbeat: AgentHeartbeat): Promise<void> {
+    if (!isCurrent(heartbeat)) {
+      stopHeartbeat(heartbeat);
       return;
     }
-    if (pair.inFlight) {
+    if (heartbeat.inFlight) {
       return;
     }
-    pair.inFlight = true;
+    heartbeat.inFlight = true;
     const sentAtMs = monotonicNowMs();
     const reply = await agents.heartbeat(
-      pair.address,
+      heartbeat.address,
       { entryId, entryIncarnation },
       { timeoutMs: leaseMs / 2 },
     );
-    pair.inFlight = false;
-    reply.map((value) => apply(pair, value, sentAtMs));
+    heartbeat.inFlight = false;
+    reply.map((value) => applyReply(heartbeat, value, sentAtMs));
   }
 
-  function begin(address: string): Pair {
-    const lapse = new AbortController();
-    // Every running attempt at the agent listens; Node warns of a leak above ten listeners.
-    setMaxListeners(0, lapse.signal);
-    const pair: Pair = {
+  function startHeartbeat(address: string): AgentHeartbeat {
+    const lapseController = new AbortController();
+    // Every running attempt at the agent adds a listener; Node warns of a leak above ten listeners.
+    setMaxListeners(0, lapseController.signal);
+    const heartbeat: AgentHeartbeat = {
       address,
       shareCount: 0,
-      lapse,
+      lapseController,
       renewedAtMs: monotonicNowMs(),
       timer: setInterval(() => {
-        void beat(pair);
+        void sendHeartbeat(heartbeat);
       }, intervalMs),
       inFlight: false,
     };
-    pairs.set(address, pair);
-    return pair;
+    activeHeartbeats.set(address, heartbeat);
+    return heartbeat;
   }
 
-  function shareOf(pair: Pair): HeartbeatShare {
+  function createShare(heartbeat: AgentHeartbeat): HeartbeatShare {
     let held = true;
-    pair.shareCount += 1;
+    heartbeat.shareCount += 1;
     return {
-      lapsed: pair.lapse.signal,
-      isCurrent: () => isCurrent(pair),
+      lapsed: heartbeat.lapseController.signal,
+      isCurrent: () => isCurrent(heartbeat),
       release() {
         if (!held) {
           return;
         }
         held = false;
-        pair.shareCount -= 1;
-        if (pair.shareCount === 0) {
-          end(pair);
+        heartbeat.shareCount -= 1;
+        if (heartbeat.shareCount === 0) {
+          stopHeartbeat(heartbeat);
         }
       },
     };
@@ -139,10 +140,10 @@
 
   return {
     share(address) {
-      const known = pairs.get(address);
-      return shareOf(known !== undefined && isCurrent(known) ? known : begin(address));
+      const known = activeHeartbeats.get(address);
+      return createShare(known !== undefined && isCurrent(known) ? known : startHeartbeat(address));
     },
-    addresses: () => [...pairs.keys()],
-    stop: () => [...pairs.values()].forEach(end),
+    addresses: () => [...activeHeartbeats.keys()],
+    stop: () => [...activeHeartbeats.values()].forEach(stopHeartbeat),
   };
 }
--- a/packages/entry/src/heldLease.ts
+++ b/packages/entry/src/heldLease.ts
@@ -1,4 +1,4 @@
-/** A lease at an agent, from before it is asked for until it certainly ended there. */
+/** A lease at an agent, held from before it is requested until it has certainly ended there. */
 import { err, type Result } from 'neverthrow';
 import type { PlatformInstance } from '@bluebellhitch/objects';
 import type { AgentCallError } from './agentApi';
@@ -11,15 +11,15 @@
   instance: PlatformInstance;
   attemptId: string;
   share: HeartbeatShare;
-  /** The agent ended the lease itself, or never granted it. */
-  settle(): void;
-  /** Gives the lease up; tells the agent unless it is settled. Idempotent. */
+  /** Call it when the agent has ended the lease itself or did not grant it. */
+  markEnded(): void;
+  /** Releases the lease, and cancels it at the agent unless it has ended there. Idempotent. */
   release(): void;
 }
 
 /**
- * Call it before the reservation is sent: its answer may be lost after the agent granted it, and the
- * memory would then stay held until the heartbeat of all other work ends.
+ * Call it before the reservation is sent: the reply may be lost after the agent granted it, and the memory
+ * would then stay reserved until the heartbeat for all other work at the agent ends.
  */
 export function holdLease(
   context: Pick<RequestContext, 'heartbeats' | 'cancellations'>,
@@ -28,21 +28,21 @@
   onRelease: () => void = () => undefined,
 ): HeldLease {
   const share = context.heartbeats.share(instance.innerAddress);
-  let settled = false;
-  let released = false;
+  let hasEnded = false;
+  let isReleased = false;
   return {
     instance,
     attemptId,
     share,
-    settle: () => {
-      settled = true;
+    markEnded: () => {
+      hasEnded = true;
     },
     release() {
-      if (released) {
+      if (isReleased) {
         return;
       }
-      released = true;
-      if (!settled) {
+      isReleased = true;
+      if (!hasEnded) {
         context.cancellations.cancel(instance.innerAddress, attemptId);
       }
       share.release();
@@ -52,9 +52,9 @@
 }
 
 /**
- * Makes a call under the lease. It ends with the request, and when the lease at the agent may have
- * ended: a machine that lost its power closes no connection, and a call that waits in its queue would
- * hold the caller for all of its wait limit.
+ * Makes a call under the lease. The call is aborted with the request, and when the lease at the agent may
+ * have ended: a machine that lost power closes no connection, and a call that waits in the agent's queue
+ * would block the caller for its whole wait limit.
  */
 export async function callUnderLease<Value>(
   lease: Pick<HeldLease, 'share'>,
--- a/packages/entry/src/modelAttempt.ts
+++ b/packages/entry/src/modelAttempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a model request: placement, claim, prefill and stream, and the release of its leases. */
+/** Runs one attempt of a model request: placement, claim, prefill, stream, and release of its leases. */
 import { placementPolicies, resolvePolicyPlan } from '@bluebellhitch/decisions';
 import { monotonicNowMs, refusalReasons } from '@bluebellhitch/shared';
 import {
@@ -19,14 +19,14 @@
 } from './prefillStage';
 import { streamAttempt } from './streamStage';
 
-/** Runs an attempt; nothing stays held or placed afterwards. */
+/** Runs an attempt; all its leases and placements are released when the promise resolves. */
 export async function runAttempt(
   run: ModelRun,
   claim: ClaimGuard | undefined,
 ): Promise<AttemptOutcome> {
   const { context, request } = run;
   const attemptId = context.newAttemptId();
-  const placed = await place(run, attemptId, claim);
+  const placed = await placeByPolicy(run, attemptId, claim);
   if (placed.kind !== 'placed') {
     return placed;
   }
@@ -37,8 +37,8 @@
   try {
     const outcome = await runPlaced(run, placed, claim);
     if (outcome.kind === 'failed') {
-      // The next attempt goes elsewhere: a server that breaks its streams bids as well as any other,
-      // and would get every attempt of the request.
+      // The next attempt goes to another server: one whose streams fail still makes good bids and would
+      // otherwise be given every attempt of the request.
       run.tried.add(id);
     }
     return outcome;
@@ -47,7 +47,7 @@
   }
 }
 
-function place(
+function placeByPolicy(
   run: ModelRun,
   attemptId: string,
   claim: ClaimGuard | undefined,
@@ -95,9 +95,9 @@
   prefillLease: HeldLease | undefined,
   claim: ClaimGuard | undefined,
 ): Promise<AttemptOutcome> {
-  const obstacle = dispatchObstacle(run, placement, claim);
-  if (obstacle !== undefined) {
-    return obstacle;
+  const blocker = findDispatchBlocker(run, placement, claim);
+  if (blocker !== undefined) {
+    return blocker;
   }
   if (prefillLease === undefined) {
     return streamAttempt(run, { placement, onFirstToken: () => undefined });
@@ -110,7 +110,7 @@
   return streamPrefilled(run, placement, prefilled.prefill, claim);
 }
 
-/** A prefill that certainly did not run leaves the decode reservation as good as before. */
+/** If the prefill certainly did not run, the decode reservation is still valid and used without it. */
 function afterFailedPrefill(
   run: ModelRun,
   placement: Placement,
@@ -121,7 +121,7 @@
     return failure;
   }
   return (
-    dispatchObstacle(run, placement, claim) ??
+    findDispatchBlocker(run, placement, claim) ??
     streamAttempt(run, { placement, onFirstToken: () => undefined })
   );
 }
@@ -132,23 +132,23 @@
   prefill: FinishedPrefill,
   claim: ClaimGuard | undefined,
 ): Promise<AttemptOutcome> {
-  let used = false;
+  let isUsed = false;
   const onFirstToken = () => {
-    used = true;
-    // The decode worker has pulled the KV cache: its copy at the prefill worker serves nobody.
+    isUsed = true;
+    // The decode worker has pulled the KV cache: its copy at the prefill worker is no longer needed.
     prefill.lease.release();
   };
   const outcome =
-    dispatchObstacle(run, placement, claim) ??
+    findDispatchBlocker(run, placement, claim) ??
     (await streamAttempt(run, { placement, prefill, onFirstToken }));
-  if (!used) {
+  if (!isUsed) {
     reportWastedPrefill(run, prefill, wasteCause(run, outcome));
   }
   return outcome;
 }
 
-/** What forbids a dispatch now, by this process's own clock. */
-function dispatchObstacle(
+/** Returns the outcome if dispatching is no longer allowed, judged by this process's own clock. */
+function findDispatchBlocker(
   run: ModelRun,
   placement: Placement,
   claim: ClaimGuard | undefined,
--- a/packages/entry/src/modelRequest.ts
+++ b/packages/entry/src/modelRequest.ts
@@ -1,6 +1,6 @@
 /**
- * The life of one model request: limits, quarantine, attempts with retries or continuations, and one
- * final outcome. The only place that retries.
+ * Runs one model request from admission to its outcome: rate limits, quarantine, attempts with retries or
+ * continuations, and exactly one final outcome. Retries of model requests are decided only here.
  */
 import { decideRetry, type RetryDecision } from '@bluebellhitch/decisions';
 import {
@@ -15,14 +15,14 @@
 } from '@bluebellhitch/shared';
 import { requestOutcomes, requestPhases, type RequestOutcome } from '@bluebellhitch/telemetry';
 import { checkQuarantine, checkRate, takeRetry } from './admission';
-import { createClaimGuard, type ClaimedEnd, type ClaimGuard } from './claimStage';
+import { createClaimGuard, type ClaimResolution, type ClaimGuard } from './claimStage';
 import { runAttempt } from './modelAttempt';
 import { stopReasons, type AttemptFailure, type AttemptOutcome, type ModelRun } from './modelTypes';
 import { labelsOf } from './runReports';
 
 const defaultRetryAfterMs = 1_000;
 
-/** Runs the request to its end. The log is closed when the promise resolves. */
+/** Runs the request to completion. The response log is closed when the promise resolves. */
 export async function runModelRequest(run: ModelRun): Promise<RequestOutcome> {
   const refusal = findAdmissionRefusal(run);
   if (refusal !== undefined) {
@@ -30,7 +30,7 @@
   }
   const claim = createRequestClaim(run);
   const outcome = await runAttempts(run, claim);
-  await claim?.settle(claimedEnd(run, outcome));
+  await claim?.settle(claimResolution(run, outcome));
   return finish(run, outcome);
 }
 
@@ -38,16 +38,16 @@
 
 async function runAttempts(run: ModelRun, claim: ClaimGuard | undefined): Promise<FinalOutcome> {
   for (let attempts = 1; ; attempts += 1) {
-    const ranBefore = run.mayHaveRun;
+    const mayHaveRunBefore = run.mayHaveRun;
     const outcome = await runAttempt(run, claim);
     if (outcome.kind !== 'failed') {
       return outcome;
     }
     if (outcome.notRun === true) {
-      run.mayHaveRun = ranBefore;
+      run.mayHaveRun = mayHaveRunBefore;
     }
     if (run.signal.aborted) {
-      // What the caller's leaving broke off is no failure of a server.
+      // An attempt that was aborted because the caller disconnected does not count as a server failure.
       return { kind: 'stopped' };
     }
     const decision = decideNext(run, outcome, attempts);
@@ -72,13 +72,13 @@
   if (refusal !== undefined) {
     return giveUp(failure, refusal.detail);
   }
-  // Two rounds of bids took a second in which nobody answered: the caller is better told at once.
+  // Two rounds of bids took a second without any reply: it is better to refuse the request at once.
   if (failure.reason === refusalReasons.noInstances || !hasUntriedServer(run)) {
     return giveUp(failure, failure.detail);
   }
-  // A continuation saves work that is done already, and there is at most one for each running stream,
-  // so that it cannot multiply the load: it draws on the budget, but is not refused by an empty one.
-  const resumes = emitted.tokenCount > 0;
+  // A continuation preserves work that is done already, and each running stream has at most one, so it
+  // cannot multiply the load: it draws on the retry budget but is allowed when the budget is empty.
+  const isContinuation = emitted.tokenCount > 0;
   return decideRetry({
     notRun: failure.notRun,
     dispatched: failure.dispatched,
@@ -86,7 +86,7 @@
     triedInstances: [...run.tried],
     attempts,
     maxAttempts: retry.maxAttempts,
-    takeFromBudget: () => takeRetry(context, service) || resumes,
+    takeFromBudget: () => takeRetry(context, service) || isContinuation,
     emittedTokens: emitted.tokenCount,
     remainingMs: request.deadlineAtMs - nowMs,
     backoffBaseMs: retry.backoffMs,
@@ -103,7 +103,7 @@
   return { kind: 'give-up', reason: failure.reason, notRun: failure.notRun, detail };
 }
 
-/** A refusal before any dispatch tells its own reason; later ones tell why there is no other attempt. */
+/** Before any dispatch the reason is that of the failure; afterwards it is why no further attempt is made. */
 function refusalOfGiveUp(
   run: ModelRun,
   failure: AttemptFailure,
@@ -113,7 +113,7 @@
   const reason = failure.dispatched ? decision.reason : failure.reason;
   return createRefusal({
     reason: incomplete ? refusalReasons.incompleteAnswer : reason,
-    notRun: notRunOf(run),
+    notRun: resolveNotRun(run),
     detail: failure.dispatched ? `${failure.detail}; ${decision.detail}` : failure.detail,
     retryAfterMs: failure.retryAfterMs ?? defaultRetryAfterMs,
   });
@@ -156,14 +156,14 @@
   return createClaimGuard({ claims, metrics, claimKey, requestId });
 }
 
-function claimedEnd(run: ModelRun, outcome: FinalOutcome): ClaimedEnd {
+function claimResolution(run: ModelRun, outcome: FinalOutcome): ClaimResolution {
   if (outcome.kind === 'completed') {
     return 'ran';
   }
   return run.mayHaveRun ? 'unknown' : 'not-run';
 }
 
-function notRunOf(run: ModelRun): NotRun {
+function resolveNotRun(run: ModelRun): NotRun {
   if (run.emitted.tokenCount > 0) {
     return false;
   }
@@ -194,10 +194,10 @@
     context.metrics.observePhase(requestPhases.decode, labelsOf(request), decodeMs);
     countGoodput(run, firstTokenAtMs, decodeMs);
   }
-  return settle(run, requestOutcomes.completed, requestOutcomes.completed);
+  return recordOutcome(run, requestOutcomes.completed, requestOutcomes.completed);
 }
 
-/** Goodput: the first token in time, and the others in time on average. */
+/** A request counts as goodput if its first token, and on average the other tokens, met their targets. */
 function countGoodput(run: ModelRun, firstTokenAtMs: number, decodeMs: number): void {
   const { targets } = run.request.document;
   const firstTokenMs = firstTokenAtMs - run.request.arrivedAtMs;
@@ -211,7 +211,7 @@
   run.context.metrics.countRefusal(refusal.reason);
   run.log.append({ kind: 'refused', refusal });
   const outcome = run.mayHaveRun ? requestOutcomes.failed : requestOutcomes.refused;
-  return settle(run, outcome, `${outcome}: ${refusal.reason}`);
+  return recordOutcome(run, outcome, `${outcome}: ${refusal.reason}`);
 }
 
 function finishStopped(run: ModelRun): RequestOutcome {
@@ -221,7 +221,7 @@
       run,
       createRefusal({
         reason: refusalReasons.deadlineExceeded,
-        notRun: notRunOf(run),
+        notRun: resolveNotRun(run),
         detail: 'the answer did not end within the time that the service allows',
         retryAfterMs: defaultRetryAfterMs,
       }),
@@ -232,7 +232,7 @@
       run,
       createRefusal({
         reason: refusalReasons.leaving,
-        notRun: notRunOf(run),
+        notRun: resolveNotRun(run),
         detail: 'this entry stops',
         retryAfterMs: defaultRetryAfterMs,
       }),
@@ -241,15 +241,19 @@
   const detail = 'the caller went away';
   const refusal = createRefusal({
     reason: refusalReasons.cancelled,
-    notRun: notRunOf(run),
+    notRun: resolveNotRun(run),
     detail,
   });
   run.log.append({ kind: 'refused', refusal });
-  return settle(run, requestOutcomes.cancelled, requestOutcomes.cancelled);
+  return recordOutcome(run, requestOutcomes.cancelled, requestOutcomes.cancelled);
 }
 
-function settle(run: ModelRun, outcome: RequestOutcome, told: string): RequestOutcome {
+function recordOutcome(
+  run: ModelRun,
+  outcome: RequestOutcome,
+  recordedOutcome: string,
+): RequestOutcome {
   run.context.metrics.countRequest(labelsOf(run.request), outcome);
-  run.trace.finish(told);
+  run.trace.finish(recordedOutcome);
   return outcome;
 }
--- a/packages/entry/src/modelRuns.ts
+++ b/packages/entry/src/modelRuns.ts
@@ -1,6 +1,6 @@
 /**
- * Model requests that run now. Repeatable requests with the same idempotency key and content share one
- * run; a run ends early when its last caller has left.
+ * The model requests that are running. Repeatable requests with the same idempotency key and content
+ * share one run; a run is stopped when its last caller has disconnected.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import { createAnswerLog, type AnswerLog } from './answerLog';
@@ -10,19 +10,19 @@
 import { createRequestTrace } from './requestTrace';
 import { labelsOf } from './runReports';
 
-/** A caller's part in a run. */
+/** A caller's subscription to a run. */
 export interface RunMembership {
   log: AnswerLog;
-  /** The caller is gone or has its answer; idempotent. */
+  /** Call it when the caller has disconnected or has its response; idempotent. */
   leave(): void;
 }
 
 export interface ModelRuns {
-  /** Starts the request, or joins a run of the same key and content. */
+  /** Starts the request, or joins the run with the same key and content. */
   start(request: ModelRequest, shareKey?: string): RunMembership;
   activeCount(): number;
   stopAll(reason: StopReason): void;
-  /** Resolves when no request runs. */
+  /** Resolves when no request is running. */
   settled(): Promise<void>;
 }
 
@@ -38,7 +38,7 @@
   const active = new Set<ActiveRun>();
   const shared = new Map<string, ActiveRun>();
 
-  function begin(request: ModelRequest): ActiveRun {
+  function startRun(request: ModelRequest): ActiveRun {
     const stop = new AbortController();
     const log = createAnswerLog();
     const run = createRun(context, request, log, stop.signal);
@@ -66,15 +66,15 @@
   }
 
   function join(activeRun: ActiveRun): RunMembership {
-    let left = false;
+    let hasLeft = false;
     activeRun.callerCount += 1;
     return {
       log: activeRun.log,
       leave() {
-        if (left) {
+        if (hasLeft) {
           return;
         }
-        left = true;
+        hasLeft = true;
         activeRun.callerCount -= 1;
         if (activeRun.callerCount === 0) {
           activeRun.stop.abort(stopReasons.callerGone);
@@ -85,13 +85,13 @@
 
   return {
     start(request, shareKey) {
-      const known = shareKey === undefined ? undefined : shared.get(shareKey);
-      if (known !== undefined && !known.stop.signal.aborted) {
-        return join(known);
+      const existing = shareKey === undefined ? undefined : shared.get(shareKey);
+      if (existing !== undefined && !existing.stop.signal.aborted) {
+        return join(existing);
       }
-      const begun = begin(request);
-      track(begun, shareKey);
-      return join(begun);
+      const started = startRun(request);
+      track(started, shareKey);
+      return join(started);
     },
     activeCount: () => active.size,
     stopAll: (reason) => active.forEach(({ stop }) => stop.abort(reason)),
@@ -128,7 +128,7 @@
   };
 }
 
-/** A defect of this program: its caller still gets an answer. */
+/** Handles an unexpected error, a defect of this program, so that the caller still gets a response. */
 function failRun(context: RequestContext, run: ModelRun, error: unknown): void {
   context.logger.error('model request failed', { requestId: run.request.requestId, error });
   if (!run.log.isClosed()) {
--- a/packages/entry/src/modelTypes.ts
+++ b/packages/entry/src/modelTypes.ts
@@ -1,4 +1,4 @@
-/** Types that the stages of a model request share. */
+/** Types shared by the stages of a model request. */
 import type { ServiceDocument, TrafficClass } from '@bluebellhitch/document';
 import type { RequestOrigin } from '@bluebellhitch/protocol';
 import type { NotRun, Refusal, RefusalReason } from '@bluebellhitch/shared';
@@ -7,7 +7,7 @@
 import type { RequestContext } from './requestContext';
 import type { RequestTrace } from './requestTrace';
 
-/** A checked model request. */
+/** A validated model request. */
 export interface ModelRequest {
   requestId: string;
   document: ServiceDocument;
@@ -22,7 +22,7 @@
   repeatable: boolean;
   claimKey?: string;
   fingerprint: string;
-  /** Monotonic time of arrival, and the time by which the answer must have ended. */
+  /** Monotonic time of arrival, and the time by which the response must have ended. */
   arrivedAtMs: number;
   deadlineAtMs: number;
 }
@@ -33,25 +33,25 @@
   request: ModelRequest;
   trace: RequestTrace;
   log: AnswerLog;
-  /** Aborts when nobody waits for the answer any more, or when the deadline has passed. */
+  /** Aborts when no caller waits for the response any more, or when the deadline has passed. */
   signal: AbortSignal;
   emitted: { tokenCount: number; text: string };
   firstTokenAtMs?: number;
   lastTokenAtMs?: number;
-  /** Instances that must not be asked again. */
+  /** Ids of instances that must not be tried again. */
   tried: Set<string>;
-  /** Whether any engine may have begun to work on the request. */
+  /** Whether any engine may have started work on the request. */
   mayHaveRun: boolean;
-  /** Whether earlier strikes make the request run apart from others of the kind. */
+  /** The request has strikes, so it must not run on the same server as another one with strikes. */
   struck: boolean;
 }
 
-/** Why an attempt failed; another one may follow. */
+/** Why an attempt failed; another attempt may follow. */
 export interface AttemptFailure {
   kind: 'failed';
   reason: RefusalReason;
   notRun: NotRun;
-  /** Whether an engine was given the work, rather than asked for a bid or a lease. */
+  /** Whether work was dispatched to an engine, rather than only a bid or a lease requested. */
   dispatched: boolean;
   detail: string;
   cause: RetryCause;
@@ -61,9 +61,9 @@
 export type AttemptOutcome =
   | { kind: 'completed'; outputTokens: number }
   | AttemptFailure
-  /** Final: no other attempt can help. */
+  /** Final: no further attempt is made. */
   | { kind: 'refused'; refusal: Refusal }
-  /** `signal` aborted. */
+  /** The signal of the run was aborted. */
   | { kind: 'stopped' };
 
 export const stopReasons = {
--- a/packages/entry/src/peerStrikes.ts
+++ b/packages/entry/src/peerStrikes.ts
@@ -1,5 +1,5 @@
 /**
- * Sends strikes to the other entries while the platform is down. Strikes are rare, so that each goes to
+ * Sends strikes to the other entries while the platform is down. Strikes are rare, so each is sent to
  * every peer: the caller's next try may reach any of them.
  */
 import { createTRPCClient, httpLink } from '@trpc/client';
@@ -21,7 +21,7 @@
 }
 
 export interface PeerStrikes {
-  /** Sends in the background; a peer that cannot be reached is left out. */
+  /** Sends the strikes in the background; failures to reach a peer are only logged. */
   tell(strikes: Strike[]): void;
   close(): Promise<void>;
 }
@@ -39,7 +39,7 @@
   const headers = credentialHeaders(options.credentials, innerAudiences.entry);
   const fetchMessage = createMessageFetch(dispatcher, onControlBytes);
 
-  async function tellPeer(address: string, strikes: Strike[]): Promise<void> {
+  async function sendToPeer(address: string, strikes: Strike[]): Promise<void> {
     const url = `${address}${innerPaths.trpc}`;
     const client = createTRPCClient<EntryRouter>({
       links: [httpLink({ url, headers, fetch: fetchMessage })],
@@ -47,7 +47,7 @@
     try {
       await client.strike.mutate(strikes, { signal: AbortSignal.timeout(timeoutMs) });
     } catch (error) {
-      logger.debug('a peer could not be told of strikes', { address, error });
+      logger.debug('could not send strikes to peer', { address, error });
     }
   }
 
@@ -57,7 +57,7 @@
         .entries()
         .filter(({ id }) => id !== entryId)
         .forEach(({ innerAddress }) => {
-          void tellPeer(innerAddress, strikes);
+          void sendToPeer(innerAddress, strikes);
         });
     },
     close: () => dispatcher.destroy(),
--- a/packages/entry/src/phaseLearning.ts
+++ b/packages/entry/src/phaseLearning.ts
@@ -1,4 +1,4 @@
-/** Feeds what an attempt measured into the models that predict later ones. */
+/** Updates the prediction models with the durations that an attempt measured. */
 import { prefillLocations } from '@bluebellhitch/decisions';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { ModelRun } from './modelTypes';
@@ -9,11 +9,11 @@
   run: ModelRun;
   placement: Placement;
   prefill?: FinishedPrefill;
-  /** When the stream was asked for, on the monotonic clock. */
+  /** Monotonic time at which the stream was requested, in ms. */
   dispatchedAtMs: number;
 }
 
-/** Call with the request's first token; a continuation's first token says nothing about prefill. */
+/** Call on the request's first token; that of a continuation is no measure of the prefill duration. */
 export function learnFromFirstToken(attempt: MeasuredAttempt): void {
   const { run, placement } = attempt;
   const { phaseModels } = run.context.runtimes;
@@ -35,8 +35,8 @@
   }
 }
 
-/** Call when the whole answer has come from one attempt. */
-export function learnFromAnswer({ run, placement }: MeasuredAttempt): void {
+/** Call when the complete response has come from one attempt. */
+export function learnFromResponse({ run, placement }: MeasuredAttempt): void {
   const { firstTokenAtMs, lastTokenAtMs, emitted, request } = run;
   if (firstTokenAtMs === undefined || lastTokenAtMs === undefined || emitted.tokenCount < 2) {
     return;
--- a/packages/entry/src/placement.ts
+++ b/packages/entry/src/placement.ts
@@ -1,6 +1,6 @@
 /**
- * Places an attempt: bids, the choice among them, and the reservation of decode memory. No prefill
- * starts before the reservation is granted.
+ * Places an attempt: collects bids, chooses among them and reserves decode memory. No prefill starts
+ * before the reservation has been granted.
  */
 import { chooseBid, type BidChoice, type ReserveExpectation } from '@bluebellhitch/decisions';
 import type { PlatformInstance } from '@bluebellhitch/objects';
@@ -13,35 +13,40 @@
 import { decodeReservation } from './decodeReservation';
 import { callUnderLease, holdLease, type HeldLease } from './heldLease';
 import type { AttemptFailure, AttemptOutcome, ModelRun } from './modelTypes';
-import { separate, separateBids, separationWaitMs, waitForSeparateServer } from './separation';
+import {
+  trackPlacement,
+  filterSeparateBids,
+  separationWaitMs,
+  waitForSeparateServer,
+} from './separation';
 import { noteCallError, noteLoad, noteRefusal } from './serverHealth';
 
-/** A granted decode reservation, and how the prompt's KV cache gets there. */
+/** A granted decode reservation, and how the decode worker obtains the prompt's KV cache. */
 export interface Placement {
   decode: HeldLease;
-  /** Lets other struck requests onto the decode worker; idempotent. */
+  /** Allows other requests with strikes on the decode worker again; idempotent. */
   endSeparation: () => void;
-  /** Absent where the decode worker prefills itself. */
+  /** Undefined if the decode worker runs the prefill itself. */
   prefillInstance?: PlatformInstance;
   expected: ReserveExpectation;
-  /** When the slot is usable, on the monotonic clock. */
+  /** Monotonic time from which the slot is usable, in ms. */
   usableAtMs: number;
 }
 
 export type PlacementOutcome = { kind: 'placed'; placement: Placement } | PlacementFailure;
 export type PlacementFailure = Exclude<AttemptOutcome, { kind: 'completed' }>;
 export type ReserveChoice = Extract<BidChoice, { kind: 'reserve' }>;
-/** An instance that a choice may name. */
+/** An instance that a choice may refer to. */
 export type ChosenWorker = Pick<InstanceBid, 'instanceId' | 'instance'>;
 
-/** Tries the bids in order of preference until an agent grants its memory. */
+/** Tries the bids in order of preference until an agent grants the reservation. */
 export async function placeAttempt(run: ModelRun, attemptId: string): Promise<PlacementOutcome> {
   const giveUpAtMs = monotonicNowMs() + separationWaitMs;
   for (;;) {
     await waitForSeparateServer(run, giveUpAtMs);
     const [decodeBids, prefillBids] = await collectUsableBids(run);
     observePressure(run, decodeBids);
-    const overtaken = decodeBids.length > 0 && separateBids(run, decodeBids).length === 0;
+    const overtaken = decodeBids.length > 0 && filterSeparateBids(run, decodeBids).length === 0;
     if (!overtaken || run.signal.aborted || monotonicNowMs() >= giveUpAtMs) {
       return reserveBest(run, attemptId, decodeBids, prefillBids, undefined);
     }
@@ -58,7 +63,7 @@
   if (run.signal.aborted) {
     return { kind: 'stopped' };
   }
-  const choice = choose(run, separateBids(run, decodeBids), prefillBids);
+  const choice = choose(run, filterSeparateBids(run, decodeBids), prefillBids);
   run.trace.step('choice', choiceDetail(choice));
   if (choice.kind === 'refuse') {
     return lastFailure ?? refusedChoice(choice);
@@ -79,22 +84,22 @@
 ): BidChoice {
   const { context, request, emitted } = run;
   const { document } = request;
-  const resumes = emitted.tokenCount > 0;
+  const isContinuation = emitted.tokenCount > 0;
   return chooseBid({
     decodeBids,
     prefillBids,
     promptTokens: request.promptTokens + emitted.tokenCount,
     targets: document.targets,
-    // The caller has tokens already: what is left to gain is the whole answer, at almost any price.
-    weights: resumes ? { goodput: 1, wastedPrefill: 0 } : document.weights,
+    // The caller has received tokens already: only completing the response still has value, at almost any cost.
+    weights: isContinuation ? { goodput: 1, wastedPrefill: 0 } : document.weights,
     model: context.runtimes.phaseModels.model(document.service),
     linkRates: context.runtimes.linkRates,
-    elapsedMs: resumes ? 0 : monotonicNowMs() - request.arrivedAtMs,
+    elapsedMs: isContinuation ? 0 : monotonicNowMs() - request.arrivedAtMs,
     localPrefillTokens,
   });
 }
 
-/** Asks the chosen decode worker for its memory. */
+/** Requests the reservation from the chosen decode worker. */
 export async function reserveChoice(
   run: ModelRun,
   attemptId: string,
@@ -105,8 +110,8 @@
   const find = (id: string) => workers.find(({ instanceId }) => instanceId === id)?.instance;
   const instance = find(choice.instanceId) as PlatformInstance;
   const message = decodeReservation(run, attemptId, choice.expected);
-  // Noted with the choice: of two struck requests that choose at once, the second sees the first.
-  const endSeparation = separate(run, attemptId, instance.id);
+  // Recorded together with the choice: if two requests with strikes choose at once, the second sees the first.
+  const endSeparation = trackPlacement(run, attemptId, instance.id);
   const lease = holdLease(context, instance, attemptId, endSeparation);
   const timeoutMs = message.waitLimitMs + context.timeouts.reserveMarginMs;
   const reply = await callUnderLease(lease, run.signal, (signal) =>
@@ -142,7 +147,7 @@
   lease: HeldLease,
   refusal: Extract<ReserveReply, { kind: 'refused' }>,
 ): AttemptFailure {
-  lease.settle();
+  lease.markEnded();
   lease.release();
   noteRefusal(run.context, run.request.document.service, lease.instance.id, refusal);
   run.trace.step('reserve-refused', { instanceId: lease.instance.id, reason: refusal.reason });
@@ -171,7 +176,7 @@
   };
 }
 
-/** Predicted wait over the target, which the overload controller follows. */
+/** Reports the ratio of predicted wait to target to the overload controller. */
 function observePressure(run: ModelRun, bids: readonly InstanceBid[]): void {
   const { document } = run.request;
   const waits = bids.flatMap(({ bid }) => bid.usableInMs ?? []);
--- a/packages/entry/src/plainAttempt.ts
+++ b/packages/entry/src/plainAttempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a plain request: a server, a slot where the request may not be repeated, the call. */
+/** Runs one attempt of a plain request: choice of a server, a slot if it must not be repeated, the call. */
 import { workerNeeds, type Candidate } from '@bluebellhitch/decisions';
 import type { PlatformInstance } from '@bluebellhitch/objects';
 import type { ReserveRequest } from '@bluebellhitch/protocol';
@@ -7,16 +7,16 @@
 import { failureOfCall, failureOfRefusal } from './agentFailures';
 import type { ClaimGuard } from './claimStage';
 import { holdLease, type HeldLease } from './heldLease';
-import { callServer, type PlainPlace } from './plainCall';
+import { callServer, type PlainPlacement } from './plainCall';
 import type { PlainFailure, PlainOutcome, PlainRequest, PlainRun } from './plainTypes';
 import type { RequestContext } from './requestContext';
 import { noteCallError, noteLoad, noteRefusal } from './serverHealth';
 import { selectServers } from './serverSelection';
 
-/** Slots of a plain service free quickly or not at all. */
+/** Slots of a plain service become free quickly or not at all. */
 const slotWaitLimitMs = 500;
 
-/** Picks a server and runs the request there; adds it to the tried ones. */
+/** Picks a server, adds it to the tried ones and runs the request there. */
 export async function runPlainAttempt(
   context: RequestContext,
   run: PlainRun,
@@ -24,30 +24,30 @@
 ): Promise<PlainOutcome> {
   const instance = pickServer(context, run);
   if (instance === undefined) {
-    return noServer();
+    return noServerFailure();
   }
   run.tried.add(instance.id);
-  const place: PlainPlace = { instance, attemptId: context.newAttemptId() };
+  const placement: PlainPlacement = { instance, attemptId: context.newAttemptId() };
   if (claim === undefined) {
-    return callServer(context, run, place);
+    return callServer(context, run, placement);
   }
-  return runClaimed(context, run, place, claim);
+  return runClaimed(context, run, placement, claim);
 }
 
-/** With the slot reserved, the claim is the last step before the one dispatch. */
+/** Reserves a slot, then takes the claim as the last step before the only dispatch. */
 async function runClaimed(
   context: RequestContext,
   run: PlainRun,
-  place: PlainPlace,
+  placement: PlainPlacement,
   claim: ClaimGuard,
 ): Promise<PlainOutcome> {
-  const lease = holdLease(context, place.instance, place.attemptId);
+  const lease = holdLease(context, placement.instance, placement.attemptId);
   try {
     const failure = await reserveSlot(context, run, lease);
     if (failure !== undefined) {
       return failure;
     }
-    const refusal = await claim.take(place.attemptId);
+    const refusal = await claim.take(placement.attemptId);
     if (refusal !== undefined) {
       return { kind: 'refused', refusal };
     }
@@ -55,15 +55,15 @@
       return { kind: 'stopped' };
     }
     if (!lease.share.isCurrent() || !claim.allowsDispatch()) {
-      return notDispatched('the reservation ended before it was used');
+      return notDispatchedFailure('the reservation ended before it was used');
     }
-    return await callServer(context, run, { ...place, lease });
+    return await callServer(context, run, { ...placement, lease });
   } finally {
     lease.release();
   }
 }
 
-/** Two candidates by load hints; the one with fewer calls of this entry wins. */
+/** Selects two candidates by load hints, and of these the one with fewer calls from this entry. */
 function pickServer(context: RequestContext, run: PlainRun): PlatformInstance | undefined {
   const { document } = run.request;
   const { byId } = context.runtimes.members(document);
@@ -72,7 +72,7 @@
     context,
     run,
     document,
-    selector: runtime.pairSelector,
+    selector: runtime.plainSelector,
     need: workerNeeds.plain,
   });
   const inFlight = ({ instanceId }: Candidate) => runtime.inFlight.get(instanceId) ?? 0;
@@ -103,7 +103,7 @@
     noteLoad(context, instance.id, reply.value.load);
     return undefined;
   }
-  lease.settle();
+  lease.markEnded();
   noteRefusal(context, run.request.document.service, instance.id, reply.value);
   return failureOfRefusal({ ...reply.value, notRun: true }, { dispatched: false });
 }
@@ -130,7 +130,7 @@
   };
 }
 
-function noServer(): PlainFailure {
+function noServerFailure(): PlainFailure {
   return {
     kind: 'failed',
     reason: refusalReasons.noInstances,
@@ -141,7 +141,7 @@
   };
 }
 
-function notDispatched(detail: string): PlainFailure {
+function notDispatchedFailure(detail: string): PlainFailure {
   return {
     kind: 'failed',
     reason: refusalReasons.noCapacity,
--- a/packages/entry/src/plainCall.ts
+++ b/packages/entry/src/plainCall.ts
@@ -1,4 +1,4 @@
-/** Sends a plain call to one server and passes its answer on to the caller. */
+/** Sends a plain call to one server and forwards its response to the caller. */
 import { pipeline } from 'node:stream/promises';
 import type { PlatformInstance } from '@bluebellhitch/objects';
 import { innerHeaders } from '@bluebellhitch/protocol';
@@ -12,8 +12,8 @@
 import type { RequestContext } from './requestContext';
 import { noteCallError, noteLoad, noteOutcome, noteRefusal } from './serverHealth';
 
-/** Where an attempt runs, and its lease there where it has one. */
-export interface PlainPlace {
+/** The server on which an attempt runs, and its lease there if it has one. */
+export interface PlainPlacement {
   instance: PlatformInstance;
   attemptId: string;
   lease?: HeldLease;
@@ -23,25 +23,27 @@
 export async function callServer(
   context: RequestContext,
   run: PlainRun,
-  place: PlainPlace,
+  placement: PlainPlacement,
 ): Promise<PlainOutcome> {
   const { request } = run;
   const { service } = request.document;
   const runtime = context.runtimes.of(service);
-  const { id } = place.instance;
+  const { id } = placement.instance;
   runtime.outliers.beginAttempt(id, monotonicNowMs());
   runtime.inFlight.set(id, (runtime.inFlight.get(id) ?? 0) + 1);
-  const unplace = run.struck ? context.strikes.place(service, place.attemptId, id) : undefined;
+  const removePlacement = run.struck
+    ? context.strikes.addPlacement(service, placement.attemptId, id)
+    : undefined;
   const link = createLinkedAbort([{ signal: run.signal, reason: 'stopped' }]);
   try {
-    return await exchangeWithServer(context, run, place, link.signal);
+    return await exchangeWithServer(context, run, placement, link.signal);
   } finally {
     link.abort('ended');
     link.dispose();
-    unplace?.();
-    const left = (runtime.inFlight.get(id) ?? 1) - 1;
-    if (left > 0) {
-      runtime.inFlight.set(id, left);
+    removePlacement?.();
+    const remainingCount = (runtime.inFlight.get(id) ?? 1) - 1;
+    if (remainingCount > 0) {
+      runtime.inFlight.set(id, remainingCount);
     } else {
       runtime.inFlight.delete(id);
     }
@@ -51,38 +53,38 @@
 async function exchangeWithServer(
   context: RequestContext,
   run: PlainRun,
-  place: PlainPlace,
+  placement: PlainPlacement,
   signal: AbortSignal,
 ): Promise<PlainOutcome> {
   const { request } = run;
-  const { instance } = place;
+  const { instance } = placement;
   run.mayHaveRun = true;
-  const answer = await context.agents.plain(instance.innerAddress, {
+  const response = await context.agents.plain(instance.innerAddress, {
     method: request.method,
     target: request.target,
-    headers: innerHeadersOf(context, request, place),
+    headers: innerHeadersOf(context, request, placement),
     body: openBody(request.body),
     headTimeoutMs: headTimeoutMs(request),
     signal,
   });
   if (run.signal.aborted) {
-    answer.map(({ body }) => body.destroy());
+    response.map(({ body }) => body.destroy());
     return { kind: 'stopped' };
   }
-  if (answer.isErr()) {
-    noteCallError(context, request.document.service, instance.id, answer.error);
-    run.trace.step('call-failed', { instanceId: instance.id, error: answer.error });
-    return failureOfCall(answer.error, { dispatched: true });
+  if (response.isErr()) {
+    noteCallError(context, request.document.service, instance.id, response.error);
+    run.trace.step('call-failed', { instanceId: instance.id, error: response.error });
+    return failureOfCall(response.error, { dispatched: true });
   }
-  if (answer.value.load !== undefined) {
-    noteLoad(context, instance.id, answer.value.load);
+  if (response.value.load !== undefined) {
+    noteLoad(context, instance.id, response.value.load);
   }
-  return answer.value.refusal === undefined
-    ? passOn(context, run, place, answer.value)
-    : refusedCall(context, run, place, answer.value);
+  return response.value.refusal === undefined
+    ? forwardResponse(context, run, placement, response.value)
+    : refusedCall(context, run, placement, response.value);
 }
 
-/** A paused server takes calls and answers none: waiting for the deadline would help nobody. */
+/** A paused server accepts calls but never responds, so waiting until the deadline would be useless. */
 function headTimeoutMs({ deadlineAtMs, document }: PlainRequest): number {
   const remainingMs = Math.max(1, deadlineAtMs - monotonicNowMs());
   return Math.min(remainingMs, document.limits.firstByteTimeoutMs);
@@ -91,28 +93,28 @@
 function refusedCall(
   context: RequestContext,
   run: PlainRun,
-  place: PlainPlace,
-  answer: PlainAnswer,
+  placement: PlainPlacement,
+  response: PlainAnswer,
 ): PlainFailure {
-  const { instance } = place;
-  const refusal = answer.refusal as NonNullable<PlainAnswer['refusal']>;
-  answer.body.destroy();
-  place.lease?.settle();
+  const { instance } = placement;
+  const refusal = response.refusal as NonNullable<PlainAnswer['refusal']>;
+  response.body.destroy();
+  placement.lease?.markEnded();
   noteRefusal(context, run.request.document.service, instance.id, refusal);
   run.trace.step('call-refused', { instanceId: instance.id, reason: refusal.reason });
   if (refusal.reason === 'backend-failed') {
     const { service } = run.request.document;
     noteOutcome(context, service, instance.id, 'failure');
-    reportPlainStrike(context, run, place, refusal.notRun);
+    reportPlainStrike(context, run, placement, refusal.notRun);
   }
   return failureOfRefusal(refusal, { dispatched: true });
 }
 
-/** The server died, or broke off, with this request in flight. */
+/** Reports a strike: the server died, or broke the connection, with this request in flight. */
 function reportPlainStrike(
   context: RequestContext,
   run: PlainRun,
-  { instance, attemptId }: PlainPlace,
+  { instance, attemptId }: PlainPlacement,
   notRun: NotRun,
 ): void {
   const { fingerprint, document } = run.request;
@@ -127,41 +129,41 @@
   });
 }
 
-/** Passes the answer on with backpressure. A broken one cuts the caller's connection: never an end. */
-async function passOn(
+/** Forwards the response with backpressure. If it breaks, the caller's connection is aborted, never ended cleanly. */
+async function forwardResponse(
   context: RequestContext,
   run: PlainRun,
-  place: PlainPlace,
-  answer: PlainAnswer,
+  placement: PlainPlacement,
+  response: PlainAnswer,
 ): Promise<PlainOutcome> {
   const { exchange, document } = run.request;
   const { outgoing, requestId } = exchange;
-  const headers = answerHeaders(answer.headers);
-  outgoing.writeHead(answer.status, { ...headers, 'x-request-id': requestId });
-  run.trace.step('answer', { instanceId: place.instance.id, status: answer.status });
+  const headers = responseHeaders(response.headers);
+  outgoing.writeHead(response.status, { ...headers, 'x-request-id': requestId });
+  run.trace.step('answer', { instanceId: placement.instance.id, status: response.status });
   try {
-    // Destroys the response where the answer breaks off.
-    await pipeline(answer.body, outgoing);
+    // Destroys the outgoing response if the incoming one breaks.
+    await pipeline(response.body, outgoing);
   } catch (error) {
-    if (exchange.gone.aborted && !answer.body.errored) {
+    if (exchange.gone.aborted && !response.body.errored) {
       return { kind: 'stopped' };
     }
-    noteOutcome(context, document.service, place.instance.id, 'failure');
+    noteOutcome(context, document.service, placement.instance.id, 'failure');
     return { kind: 'cut', detail: error instanceof Error ? error.message : 'the answer broke' };
   }
-  place.lease?.settle();
-  noteOutcome(context, document.service, place.instance.id, 'success');
-  return { kind: 'answered', status: answer.status };
+  placement.lease?.markEnded();
+  noteOutcome(context, document.service, placement.instance.id, 'success');
+  return { kind: 'answered', status: response.status };
 }
 
-function answerHeaders(headers: PlainAnswer['headers']): Record<string, string | string[]> {
+function responseHeaders(headers: PlainAnswer['headers']): Record<string, string | string[]> {
   return endToEndHeaders(headers);
 }
 
 function innerHeadersOf(
   context: RequestContext,
   request: PlainRequest,
-  { attemptId }: PlainPlace,
+  { attemptId }: PlainPlacement,
 ): Record<string, string | string[]> {
   const { origin, document, exchange } = request;
   return {
--- a/packages/entry/src/plainRefusal.ts
+++ b/packages/entry/src/plainRefusal.ts
@@ -1,9 +1,9 @@
-/** Recognises an agent's own refusal among the answers to plain calls. */
+/** Recognises a refusal by the agent itself among the responses to plain calls. */
 import { agentRefusalReasonSchema, innerHeaders, type AgentRefusal } from '@bluebellhitch/protocol';
 
 type HeaderValues = Record<string, string | string[] | undefined>;
 
-/** `undefined` where the backend server answered. */
+/** Returns undefined if the response comes from the backend server. */
 export function plainRefusal(headers: HeaderValues): AgentRefusal | undefined {
   const reason = agentRefusalReasonSchema.safeParse(headers[innerHeaders.refusal]);
   if (!reason.success) {
@@ -14,11 +14,11 @@
     reason: reason.data,
     notRun: headers[innerHeaders.notRun] === 'true' ? true : 'unknown',
     detail: `the agent refused: ${reason.data}`,
-    ...retryAfter(headers),
+    ...parseRetryAfter(headers),
   };
 }
 
-function retryAfter(headers: HeaderValues): { retryAfterMs?: number } {
+function parseRetryAfter(headers: HeaderValues): { retryAfterMs?: number } {
   const seconds = Number(headers['retry-after']);
   return Number.isFinite(seconds) && seconds > 0 ? { retryAfterMs: seconds * 1000 } : {};
 }
--- a/packages/entry/src/plainRequest.ts
+++ b/packages/entry/src/plainRequest.ts
@@ -1,4 +1,4 @@
-/** The life of one plain request: limits, attempts with retries, and one final outcome. */
+/** Runs one plain request from admission to its outcome: limits, attempts with retries, one final outcome. */
 import { decideRetry, type RetryDecision } from '@bluebellhitch/decisions';
 import {
   assertNever,
@@ -10,7 +10,7 @@
 } from '@bluebellhitch/shared';
 import { requestOutcomes, type RequestLabels, type RequestOutcome } from '@bluebellhitch/telemetry';
 import { checkQuarantine, checkRate, takeRetry } from './admission';
-import { createClaimGuard, type ClaimGuard, type ClaimedEnd } from './claimStage';
+import { createClaimGuard, type ClaimGuard, type ClaimResolution } from './claimStage';
 import { stopReasons } from './modelTypes';
 import { runPlainAttempt } from './plainAttempt';
 import type { PlainFailure, PlainOutcome, PlainRequest, PlainRun } from './plainTypes';
@@ -22,7 +22,7 @@
 const defaultRetryAfterMs = 1_000;
 const slowSenderStatus = 408;
 
-/** Opens the request's run with its decision record. */
+/** Creates the run of the request and opens its decision record. */
 export function createPlainRun(
   context: RequestContext,
   request: PlainRequest,
@@ -46,7 +46,7 @@
   };
 }
 
-/** Runs the request to its end; the caller has its answer, or a cut connection, afterwards. */
+/** Runs the request to completion: the caller has received a response, or its connection has been aborted. */
 export async function runPlainRequest(context: RequestContext, run: PlainRun): Promise<void> {
   const refusal = findAdmissionRefusal(context, run);
   if (refusal !== undefined) {
@@ -55,7 +55,7 @@
   }
   const claim = createRequestClaim(context, run.request);
   const outcome = await runAttempts(context, run, claim);
-  await claim?.settle(claimedEnd(run, outcome));
+  await claim?.settle(claimResolution(run, outcome));
   finish(context, run, outcome);
 }
 
@@ -71,15 +71,15 @@
   claim: ClaimGuard | undefined,
 ): Promise<FinalOutcome> {
   for (let attempts = 1; ; attempts += 1) {
-    const ranBefore = run.mayHaveRun;
+    const mayHaveRunBefore = run.mayHaveRun;
     const outcome = await runPlainAttempt(context, run, claim);
     if (outcome.kind !== 'failed') {
       return outcome;
     }
     if (outcome.notRun === true) {
-      run.mayHaveRun = ranBefore;
+      run.mayHaveRun = mayHaveRunBefore;
     }
-    const decision = bodyFaultOf(run) ?? decideNext(context, run, outcome, attempts);
+    const decision = findBodyFault(run) ?? decideNext(context, run, outcome, attempts);
     run.trace.step('attempt-failed', { ...outcome, next: decision.kind });
     if (decision.kind === 'refused') {
       return decision;
@@ -95,8 +95,8 @@
   }
 }
 
-/** The attempt failed because the caller's own body did. */
-function bodyFaultOf(run: PlainRun): Extract<FinalOutcome, { kind: 'refused' }> | undefined {
+/** The refusal if the attempt failed because of the caller's request body. */
+function findBodyFault(run: PlainRun): Extract<FinalOutcome, { kind: 'refused' }> | undefined {
   const { body } = run.request;
   const fault = body.kind === 'streamed' ? body.replay.fault() : undefined;
   if (fault === undefined) {
@@ -131,11 +131,13 @@
 ): RetryDecision {
   const { document, body, repeatable, deadlineAtMs } = run.request;
   const nowMs = monotonicNowMs();
-  const replayable = body.kind !== 'streamed' || body.replay.canReplay();
-  const untried = context.runtimes.members(document).members.some(({ id }) => !run.tried.has(id));
+  const isReplayable = body.kind !== 'streamed' || body.replay.canReplay();
+  const hasUntriedServer = context.runtimes
+    .members(document)
+    .members.some(({ id }) => !run.tried.has(id));
   const { struck, refusal } = checkQuarantine(context, run.request);
   run.struck = struck;
-  if (!replayable || !untried || refusal !== undefined) {
+  if (!isReplayable || !hasUntriedServer || refusal !== undefined) {
     const { reason, notRun, detail } = failure;
     return { kind: 'give-up', reason, notRun, detail };
   }
@@ -175,7 +177,7 @@
     : createClaimGuard({ claims, metrics, claimKey, requestId: exchange.requestId });
 }
 
-function claimedEnd(run: PlainRun, outcome: FinalOutcome): ClaimedEnd {
+function claimResolution(run: PlainRun, outcome: FinalOutcome): ClaimResolution {
   if (outcome.kind === 'answered') {
     return 'ran';
   }
@@ -185,12 +187,12 @@
 function finish(context: RequestContext, run: PlainRun, outcome: FinalOutcome): void {
   const ended = endExchange(context, run, outcome);
   context.metrics.countRequest(labelsOf(run.request), ended.outcome);
-  run.trace.finish(ended.told);
+  run.trace.finish(ended.recordedOutcome);
 }
 
 interface EndedRequest {
   outcome: RequestOutcome;
-  told: string;
+  recordedOutcome: string;
 }
 
 function endExchange(context: RequestContext, run: PlainRun, outcome: FinalOutcome): EndedRequest {
@@ -205,15 +207,15 @@
       if (fingerprint !== undefined) {
         context.strikes.clear(document.service, fingerprint);
       }
-      return { outcome: requestOutcomes.completed, told: `answered: ${outcome.status}` };
+      return { outcome: requestOutcomes.completed, recordedOutcome: `answered: ${outcome.status}` };
     case 'cut':
-      return { outcome: requestOutcomes.failed, told: `cut: ${outcome.detail}` };
+      return { outcome: requestOutcomes.failed, recordedOutcome: `cut: ${outcome.detail}` };
     case 'refused':
       return refuse(context, run, outcome.refusal, outcome.status);
     case 'stopped':
       if (run.signal.reason === stopReasons.callerGone) {
         exchange.outgoing.destroy();
-        return { outcome: requestOutcomes.cancelled, told: requestOutcomes.cancelled };
+        return { outcome: requestOutcomes.cancelled, recordedOutcome: requestOutcomes.cancelled };
       }
       return refuse(context, run, stoppedRefusal(run));
     default:
@@ -235,7 +237,7 @@
     exchange.refuse(refusal, status);
   }
   const outcome = run.mayHaveRun ? requestOutcomes.failed : requestOutcomes.refused;
-  return { outcome, told: `${outcome}: ${refusal.reason}` };
+  return { outcome, recordedOutcome: `${outcome}: ${refusal.reason}` };
 }
 
 function stoppedRefusal(run: PlainRun): Refusal {
--- a/packages/entry/src/plainTypes.ts
+++ b/packages/entry/src/plainTypes.ts
@@ -1,4 +1,4 @@
-/** Types that the stages of a plain request share. */
+/** Types shared by the stages of a plain request. */
 import type { Route, ServiceDocument, TrafficClass } from '@bluebellhitch/document';
 import type { RequestOrigin } from '@bluebellhitch/protocol';
 import type { NotRun, Refusal, RefusalReason } from '@bluebellhitch/shared';
@@ -7,7 +7,7 @@
 import type { ReplayBody } from './replayBody';
 import type { RequestTrace } from './requestTrace';
 
-/** A checked plain request. */
+/** A validated plain request. */
 export interface PlainRequest {
   exchange: CallerExchange;
   document: ServiceDocument;
@@ -19,7 +19,7 @@
   target: string;
   repeatable: boolean;
   claimKey?: string;
-  /** Absent where the body is too large to be looked at before it is sent on. */
+  /** Undefined if the body is too large to be read before it is forwarded. */
   fingerprint?: string;
   body: PlainBody;
   arrivedAtMs: number;
@@ -33,7 +33,7 @@
 export interface PlainRun {
   request: PlainRequest;
   trace: RequestTrace;
-  /** Aborts when the caller is gone, the deadline has passed or the entry stops. */
+  /** Aborts when the caller has disconnected, the deadline has passed or the entry stops. */
   signal: AbortSignal;
   tried: Set<string>;
   mayHaveRun: boolean;
@@ -41,9 +41,9 @@
 }
 
 export type PlainOutcome =
-  /** The backend server's answer was passed on whole. */
+  /** The complete response of the backend server was forwarded. */
   | { kind: 'answered'; status: number }
-  /** The answer broke after its head had been sent: the caller's connection was cut. */
+  /** The response broke after its head had been sent, and the caller's connection was aborted. */
   | { kind: 'cut'; detail: string }
   | {
       kind: 'failed';
@@ -54,7 +54,7 @@
       cause: RetryCause;
       retryAfterMs?: number;
     }
-  /** Final: no other attempt can help. */
+  /** Final: no further attempt is made. */
   | { kind: 'refused'; refusal: Refusal; status?: number }
   | { kind: 'stopped' };
 
--- a/packages/entry/src/prefillStage.ts
+++ b/packages/entry/src/prefillStage.ts
@@ -1,4 +1,4 @@
-/** Runs the prompt on a prefill worker, so that the decode worker can pull the KV cache. */
+/** Runs the prefill on a prefill worker, from which the decode worker then pulls the KV cache. */
 import type { PlatformInstance } from '@bluebellhitch/objects';
 import type {
   KvSource,
@@ -17,25 +17,25 @@
 
 type Prefilled = Extract<PrefillReply, { kind: 'prefilled' }>;
 
-/** A finished prefill, and the lease that keeps its result. */
+/** A finished prefill, and the lease under which the worker keeps its KV cache. */
 export interface FinishedPrefill {
   lease: HeldLease;
   reply: Prefilled;
 }
 
-/** What the prefill needs to know of a placement. */
+/** The part of a placement that the prefill needs. */
 export type PrefillPlacement = Pick<Placement, 'prefillInstance' | 'expected' | 'usableAtMs'>;
 
 export type PrefillLease =
   | { kind: 'granted'; lease: HeldLease }
-  /** The worker does not take it now: the decode worker prefills itself. */
+  /** The worker does not accept the prefill now: the decode worker runs it itself. */
   | { kind: 'declined' };
 
 export type PrefillOutcome = { kind: 'prefilled'; prefill: FinishedPrefill } | AttemptFailure;
 
-/** A prefill that ends this long before its slot is usable still finds its result kept. */
+/** A prefill may end this long before the decode slot is usable: its result is kept at least that long. */
 const startMarginMs = 20;
-/** Other prompts share the worker: a slow prefill is no stalled one. */
+/** Multiple of the predicted duration that is allowed: other prompts share the worker and slow it down. */
 const stallFactor = 4;
 
 /** Reserves the prefill worker that the placement chose. */
@@ -59,7 +59,7 @@
   }
   reply.match(
     (refusal) => {
-      lease.settle();
+      lease.markEnded();
       if (refusal.kind === 'refused') {
         noteRefusal(context, request.document.service, instance.id, refusal);
       }
@@ -71,7 +71,7 @@
   return { kind: 'declined' };
 }
 
-/** Waits until the result would not expire before its slot is usable, then runs the prefill. */
+/** Runs the prefill, late enough that its result does not expire before the decode slot is usable. */
 export async function runPrefill(
   run: ModelRun,
   placement: PrefillPlacement,
@@ -105,13 +105,13 @@
 }
 
 /**
- * A prefill shows no progress until it ends. Without a bound of its own, one whose answer is lost would
- * hold its caller until the deadline.
+ * A prefill shows no progress until it ends. Without a timeout of its own, one whose reply is lost would
+ * keep its caller waiting until the deadline.
  */
 function prefillTimeoutMs({ context, request }: ModelRun, predictedMs: number): number {
   const remainingMs = request.deadlineAtMs - monotonicNowMs();
-  const patienceMs = context.timeouts.firstFrameStallMs + stallFactor * predictedMs;
-  return Math.max(1, Math.min(remainingMs, patienceMs));
+  const progressTimeoutMs = context.timeouts.firstFrameStallMs + stallFactor * predictedMs;
+  return Math.max(1, Math.min(remainingMs, progressTimeoutMs));
 }
 
 function refusedPrefill(
@@ -151,7 +151,7 @@
   return { kind: 'prefilled', prefill: { lease, reply } };
 }
 
-/** Counts a finished prefill whose result no token came from. */
+/** Counts the tokens of a finished prefill whose result was not used for any output token. */
 export function reportWastedPrefill(
   run: ModelRun,
   prefill: FinishedPrefill,
@@ -162,7 +162,7 @@
   run.trace.step('prefill-wasted', { cause });
 }
 
-/** Where the decode worker gets the KV cache. */
+/** Returns where the decode worker obtains the KV cache. */
 export function kvSourceOf(prefill: FinishedPrefill | undefined): KvSource {
   if (prefill === undefined) {
     return { kind: 'local' };
--- a/packages/entry/src/requestContext.ts
+++ b/packages/entry/src/requestContext.ts
@@ -1,4 +1,4 @@
-/** What the handling of one request needs from its entry. */
+/** The components and settings of an entry that request handling uses. */
 import type { ClaimStore } from '@bluebellhitch/objects';
 import type { Random } from '@bluebellhitch/shared';
 import type { DecisionRing, EntryMetrics, Logger } from '@bluebellhitch/telemetry';
@@ -10,15 +10,15 @@
 import type { Strikes } from './strikes';
 
 export interface RequestTimeouts {
-  /** Wait for the first bids before others are asked as well. */
+  /** Time to wait for the first bids before further candidates are asked. */
   bidMs: number;
-  /** Longest wait for a bid where nobody else answers. */
+  /** Longest wait for a bid if no other candidate replies. */
   bidLimitMs: number;
-  /** After the first bid, the others get at least this much longer. */
+  /** Minimum further wait for the other bids after the first one. */
   bidGraceMs: number;
-  /** Added to a reservation's wait limit: the message itself takes time. */
+  /** Added to a reservation's wait limit, since the call itself takes time. */
   reserveMarginMs: number;
-  /** Time between frames after which a stream counts as stalled. */
+  /** Time without a frame after which a stream counts as stalled. */
   streamStallMs: number;
   /** The same for the first frame, on top of the predicted time. */
   firstFrameStallMs: number;
--- a/packages/entry/src/requestTrace.ts
+++ b/packages/entry/src/requestTrace.ts
@@ -1,4 +1,4 @@
-/** The decision record of one request while it runs. */
+/** Writes the decision record of one request while it runs. */
 import type { DecisionRecord, DecisionRing, RequestLabels } from '@bluebellhitch/telemetry';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
@@ -16,10 +16,10 @@
   finish(outcome: string): void;
 }
 
-/** Bound of one record; a request that takes more steps is looping, and its first ones tell why. */
+/** Maximum steps of one record; a request with more is in a loop, and its first steps show why. */
 const maxSteps = 64;
 
-/** Opens a record in the ring. */
+/** Adds a record to the ring and returns its writer. */
 export function createRequestTrace(options: RequestTraceOptions): RequestTrace {
   const { ring, requestId, labels, fingerprint, arrivedAtMs } = options;
   const record: DecisionRecord = {
--- a/packages/entry/src/runReports.ts
+++ b/packages/entry/src/runReports.ts
@@ -1,4 +1,4 @@
-/** What a model request reports while it runs: labels and strikes. */
+/** Metric labels and strike reports of a model request. */
 import type { RequestLabels } from '@bluebellhitch/telemetry';
 import type { ModelRequest, ModelRun } from './modelTypes';
 
@@ -10,7 +10,7 @@
   };
 }
 
-/** Counts a strike: the backend server died while the attempt was in flight there. */
+/** Reports a strike: the backend server died while the attempt was in flight there. */
 export function reportStrike(run: ModelRun, attemptId: string, instanceId: string): void {
   const { context, request } = run;
   run.trace.step('strike', { attemptId, instanceId });
--- a/packages/entry/src/separation.ts
+++ b/packages/entry/src/separation.ts
@@ -1,33 +1,33 @@
-/** Keeps struck requests apart: the next crash then tells which one is to blame. */
+/** Keeps requests with strikes on separate servers, so that the next crash shows which one causes it. */
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
 import type { InstanceBid } from './candidateBids';
 import type { ModelRun } from './modelTypes';
 import { forbiddenServers, hasDecodeServer } from './serverSelection';
 
-/** Longest wait for a server without another struck request. */
+/** Longest wait for a server without another request with strikes, in ms. */
 export const separationWaitMs = 3_000;
-/** A request that crashes servers does so with its prompt or soon after: later it is a bystander. */
-export const separatedTokens = 8;
-const separationPauseMs = 25;
+/** A request that crashes servers does so on its prompt or soon after: past this many tokens it is not suspected. */
+export const separationEndTokens = 8;
+const separationPollMs = 25;
 
-/** Notes where a struck run is placed; the returned function ends the note and is idempotent. */
-export function separate(run: ModelRun, attemptId: string, instanceId: string): () => void {
+/** Records on which server a run with strikes is placed; the returned function removes the record and is idempotent. */
+export function trackPlacement(run: ModelRun, attemptId: string, instanceId: string): () => void {
   return run.struck
-    ? run.context.strikes.place(run.request.document.service, attemptId, instanceId)
+    ? run.context.strikes.addPlacement(run.request.document.service, attemptId, instanceId)
     : () => undefined;
 }
 
 /**
- * All requests that were in flight on a server that died are struck, often more than there are other
- * servers. The innocent ones among them would be refused if they did not wait for a server without
- * another struck request; one that has begun to answer does not count for long.
+ * Every request in flight on a server that died gets a strike, and there are often more such requests than
+ * other servers. Those that did not cause the crash would be refused if they did not wait for a server
+ * without another request with strikes. A request stops blocking its server soon after its first tokens.
  */
 export async function waitForSeparateServer(run: ModelRun, giveUpAtMs: number): Promise<void> {
   while (run.struck && !run.signal.aborted && !hasSeparateServer(run)) {
     if (monotonicNowMs() >= giveUpAtMs) {
       return;
     }
-    await delay(separationPauseMs, run.signal);
+    await delay(separationPollMs, run.signal);
   }
 }
 
@@ -36,8 +36,11 @@
   return hasDecodeServer(query, forbiddenServers(query));
 }
 
-/** Bids of servers that no other struck request has been placed on meanwhile. */
-export function separateBids(run: ModelRun, bids: readonly InstanceBid[]): readonly InstanceBid[] {
+/** Bids of the servers on which no other request with strikes has been placed meanwhile. */
+export function filterSeparateBids(
+  run: ModelRun,
+  bids: readonly InstanceBid[],
+): readonly InstanceBid[] {
   if (!run.struck) {
     return bids;
   }
--- a/packages/entry/src/serverHealth.ts
+++ b/packages/entry/src/serverHealth.ts
@@ -1,4 +1,4 @@
-/** What failed and successful calls tell about a server, for the circuit breaker and the instance view. */
+/** Records the results of calls to a server for the circuit breaker, the load hints and the instance view. */
 import {
   agentRefusalReasons,
   type AgentRefusal,
@@ -9,7 +9,7 @@
 import type { AgentCallError } from './agentApi';
 import type { RequestContext } from './requestContext';
 
-/** Refusals that tell of the backend server rather than of the request. */
+/** Refusals caused by the state of the backend server rather than by the request. */
 const unreadyReasons: readonly AgentRefusalReason[] = [
   agentRefusalReasons.notReady,
   agentRefusalReasons.backendFailed,
@@ -17,7 +17,7 @@
 
 type HealthContext = Pick<RequestContext, 'instances' | 'runtimes'>;
 
-/** Counts a failed call; a refused connection also takes the instance out of the view for a while. */
+/** Counts a failed call; a refused connection also marks the instance as down in the view for a while. */
 export function noteCallError(
   context: HealthContext,
   service: string,
@@ -41,7 +41,7 @@
   }
 }
 
-/** A refusal is an answer, not a failure; `leaving` ends new work there at once. */
+/** A refusal is a reply, not a failure; after `leaving`, no new work is sent there. */
 export function noteRefusal(
   context: HealthContext,
   service: string,
@@ -49,7 +49,7 @@
   refusal: AgentRefusal,
 ): void {
   if (refusal.reason === agentRefusalReasons.leaving) {
-    // The instance list lags by seconds; the first refusal is enough to stop asking.
+    // The instance list lags by seconds; the first refusal is enough to stop sending requests there.
     context.instances.markLeaving(instanceId);
   }
   if (unreadyReasons.includes(refusal.reason)) {
--- a/packages/entry/src/serverSelection.ts
+++ b/packages/entry/src/serverSelection.ts
@@ -1,11 +1,11 @@
-/** Which servers of a service are asked, by what this entry knows of them. */
+/** Selects which servers of a service are asked, from this entry's own information about them. */
 import type { Candidate, CandidateSelector, WorkerNeed } from '@bluebellhitch/decisions';
 import type { ServiceDocument } from '@bluebellhitch/document';
 import { workerRoles } from '@bluebellhitch/protocol';
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { RequestContext } from './requestContext';
 
-/** The part of a run that selection looks at. */
+/** The part of a run that selection depends on. */
 export interface SelectingRun {
   tried: ReadonlySet<string>;
   struck: boolean;
@@ -20,7 +20,7 @@
   key?: string;
 }
 
-/** Servers that the run must not use: tried before, or beside another struck request. */
+/** Servers that the run must not use: those tried and, if it has strikes, those of other such requests. */
 export function forbiddenServers({
   context,
   run,
@@ -30,8 +30,8 @@
   return new Set([...run.tried, ...avoided]);
 }
 
-/** Servers that are better left out now: ejected by their breaker, or not ready. */
-export function doubtfulServers({
+/** Servers that are avoided while others are left: ejected by the circuit breaker, or not ready. */
+export function unhealthyServers({
   context,
   document,
 }: Pick<ServerQuery, 'context' | 'document'>): string[] {
@@ -40,7 +40,7 @@
   return [...outliers.ejected(nowMs), ...unready.current(nowMs)];
 }
 
-/** Whether a server outside `excluded` may decode, by its last known role. */
+/** Whether any server outside `excluded` can decode, according to its last known role. */
 export function hasDecodeServer(
   { context, document }: Pick<ServerQuery, 'context' | 'document'>,
   excluded: ReadonlySet<string>,
@@ -53,7 +53,7 @@
     );
 }
 
-/** Candidates without the doubtful servers, unless only these are left. */
+/** Selects candidates among the healthy servers, or among the unhealthy ones if only these are left. */
 export function selectServers(query: ServerQuery): Candidate[] {
   const { context, document, selector, need, key } = query;
   const { members, version } = context.runtimes.members(document);
@@ -67,6 +67,6 @@
       excluded,
       nowMs: monotonicNowMs(),
     });
-  const preferred = select(new Set([...forbidden, ...doubtfulServers(query)]));
+  const preferred = select(new Set([...forbidden, ...unhealthyServers(query)]));
   return preferred.length > 0 ? preferred : select(forbidden);
 }
--- a/packages/entry/src/serviceRuntimes.ts
+++ b/packages/entry/src/serviceRuntimes.ts
@@ -1,6 +1,6 @@
 /**
- * What this entry has learned and decides per service: candidate selection, circuit breakers, overload
- * and in-flight counts. Everything here is a hint; the agents decide about their servers.
+ * This entry's state per service: candidate selection, circuit breakers, overload control and in-flight
+ * counts. All of it is only a hint; the agents decide about their servers.
  */
 import {
   createCandidateSelector,
@@ -40,16 +40,16 @@
 /** State of one service. */
 export interface ServiceRuntime {
   selector: CandidateSelector;
-  /** A second selector for plain calls, which ask two candidates rather than three. */
-  pairSelector: CandidateSelector;
+  /** A second selector for plain calls, which choose between two candidates rather than three. */
+  plainSelector: CandidateSelector;
   outliers: OutlierDetector;
   unready: UnreadyServers;
   overload: OverloadController;
-  /** Plain calls from this entry that run on each instance. */
+  /** Number of plain calls from this entry in flight, by instance id. */
   inFlight: Map<string, number>;
 }
 
-/** Members of a service that may get new work, with what selection needs to know. */
+/** Members of a service that accept new work, with the data that selection needs. */
 export interface ServiceMembers {
   members: CandidateInstance[];
   version: number;
@@ -88,7 +88,7 @@
     const selection = { entryId, dataCentre, hints, random };
     return {
       selector: createCandidateSelector(selection),
-      pairSelector: createCandidateSelector({ ...selection, count: plainCandidates }),
+      plainSelector: createCandidateSelector({ ...selection, count: plainCandidates }),
       outliers: createOutlierDetector(),
       unready: createUnreadyServers(),
       overload: createOverloadController(),
@@ -108,7 +108,7 @@
     if (cached?.document === document && cached.instances === listed) {
       return cached;
     }
-    const eligible = listed.filter((instance) => takesNewWork(instance, document));
+    const eligible = listed.filter((instance) => acceptsNewWork(instance, document));
     memberVersion += 1;
     const fresh: CachedMembers = {
       document,
@@ -138,7 +138,7 @@
   };
 }
 
-function takesNewWork(instance: PlatformInstance, document: ServiceDocument): boolean {
+function acceptsNewWork(instance: PlatformInstance, document: ServiceDocument): boolean {
   return (
     instance.state === 'live' &&
     !document.drain.instances.includes(instance.id) &&
@@ -150,6 +150,6 @@
   { id, dataCentre, role, state }: PlatformInstance,
   document: ServiceDocument,
 ): CandidateInstance {
-  const usualRole = document.kind === 'plain' ? workerRoles.plain : workerRoles.both;
-  return { id, dataCentre, role: role ?? usualRole, state };
+  const defaultRole = document.kind === 'plain' ? workerRoles.plain : workerRoles.both;
+  return { id, dataCentre, role: role ?? defaultRole, state };
 }
--- a/packages/entry/src/streamStage.ts
+++ b/packages/entry/src/streamStage.ts
@@ -1,4 +1,4 @@
-/** Streams one attempt's answer into the log, behind the guard on attempt, offset and end. */
+/** Streams one attempt's response into the log, after a guard has checked attempt id, offset and end marker. */
 import {
   createStallDetector,
   createStreamGuard,
@@ -14,23 +14,23 @@
 import { createLinkedAbort, type LinkedAbort } from './linkedAbort';
 import { stopReasons, type AttemptFailure, type AttemptOutcome, type ModelRun } from './modelTypes';
 import type { Placement } from './placement';
-import { learnFromAnswer, learnFromFirstToken } from './phaseLearning';
+import { learnFromResponse, learnFromFirstToken } from './phaseLearning';
 import { kvSourceOf, type FinishedPrefill } from './prefillStage';
 import { labelsOf, reportStrike } from './runReports';
-import { separatedTokens } from './separation';
+import { separationEndTokens } from './separation';
 import { noteCallError, noteLoad, noteOutcome, noteRefusal } from './serverHealth';
 
 export interface StreamStage {
   placement: Placement;
   prefill?: FinishedPrefill;
-  /** Called with the attempt's first token: a transferred result has been used. */
+  /** Called on the attempt's first token: a transferred KV cache has been used by then. */
   onFirstToken: () => void;
 }
 
 interface StreamState extends StreamStage {
   run: ModelRun;
   guard: StreamGuard;
-  /** Tokens that earlier attempts delivered. */
+  /** Number of tokens that earlier attempts delivered. */
   startTokens: number;
   dispatchedAtMs: number;
   link: LinkedAbort;
@@ -44,7 +44,7 @@
   'after-end': droppedFrameCauses.afterEnd,
 } as const;
 
-/** Dispatches the attempt and reads its frames to the end. */
+/** Dispatches the attempt and reads its frames until it ends. */
 export async function streamAttempt(run: ModelRun, stage: StreamStage): Promise<AttemptOutcome> {
   const { decode } = stage.placement;
   const link = createLinkedAbort([
@@ -118,7 +118,7 @@
   return onGuarded(state, state.guard.accept(frame));
 }
 
-/** The attempt's outcome where the frame ended it. */
+/** Returns the attempt's outcome if the frame ended it. */
 function onGuarded(state: StreamState, guarded: GuardedFrame): AttemptOutcome | undefined {
   switch (guarded.kind) {
     case 'deliver':
@@ -151,7 +151,7 @@
   if (isFirstOfAttempt) {
     state.onFirstToken();
   }
-  if (run.emitted.tokenCount - state.startTokens >= separatedTokens) {
+  if (run.emitted.tokenCount - state.startTokens >= separationEndTokens) {
     state.placement.endSeparation();
   }
   if (isFirstOfRequest) {
@@ -178,10 +178,10 @@
 function complete(state: StreamState, finishReason: FinishReason): AttemptOutcome {
   const { run, placement } = state;
   const { instance } = placement.decode;
-  placement.decode.settle();
+  placement.decode.markEnded();
   noteOutcome(run.context, run.request.document.service, instance.id, 'success');
   if (state.startTokens === 0) {
-    learnFromAnswer(state);
+    learnFromResponse(state);
   }
   const outputTokens = run.emitted.tokenCount;
   run.log.append({ kind: 'end', finishReason, outputTokens });
@@ -194,7 +194,7 @@
   noteOutcome(run.context, run.request.document.service, instance.id, 'failure');
   run.trace.step('truncated', { instanceId: instance.id, cause });
   if (run.emitted.tokenCount >= run.request.maxOutputTokens) {
-    // Only the end marker is missing: with the output limit reached, nothing else can follow.
+    // Only the end marker is missing: the output limit is reached, so no more tokens can follow.
     return complete(state, 'length');
   }
   return {
@@ -210,7 +210,7 @@
 function failed(state: StreamState, frame: FailedFrame): AttemptFailure {
   const { run, placement } = state;
   const { decode } = placement;
-  decode.settle();
+  decode.markEnded();
   run.trace.step('failed', { instanceId: decode.instance.id, ...frame });
   noteRefusal(run.context, run.request.document.service, decode.instance.id, {
     ...frame,
@@ -238,7 +238,7 @@
   return failureOfCall(error, { dispatched: true });
 }
 
-/** What ended the stream from this side, if that was it. */
+/** Returns the outcome if this process ended the stream: caller, deadline, lease or stall. */
 function interruption(state: StreamState): AttemptOutcome | undefined {
   const { run, link, placement } = state;
   if (!link.signal.aborted) {
--- a/packages/entry/src/strikes.ts
+++ b/packages/entry/src/strikes.ts
@@ -1,7 +1,7 @@
 /**
- * Strikes on requests that were in flight on a backend server that died, shared with the other entries:
- * through the platform and, while it is down, by messages to peers, because the caller's next try
- * reaches another entry.
+ * Strikes against requests that were in flight on a backend server that died. They are shared with the
+ * other entries, because the caller's next try may reach any of them: through the platform and, while it
+ * is down, by messages to the peers.
  */
 import {
   createQuarantine,
@@ -18,27 +18,27 @@
 
 export interface StrikesOptions {
   platform: Pick<PlatformApi, 'get' | 'create' | 'update'>;
-  /** Sends strikes to peers; used while the platform does not answer. */
+  /** Sends strikes to the peers; used while the platform is unavailable. */
   tellPeers: (strikes: Strike[]) => void;
   logger: Logger;
   quarantine?: Quarantine;
-  /** Tries of a conditional update that others raced. */
+  /** Maximum number of tries of a conditional update that fails because of concurrent writers. */
   maxWriteTries?: number;
 }
 
 export interface Strikes {
   verdict(document: ServiceDocument, fingerprint: string): QuarantineVerdict;
-  /** Servers that a struck request of the service must not join. */
+  /** Servers of the service on which a further request with strikes must not be placed. */
   avoidInstances(service: string): ReadonlySet<string>;
-  /** Notes where a struck request runs; the returned function ends the note. */
-  place(service: string, attemptId: string, instanceId: string): () => void;
-  /** Counts a strike and shares it, in the background. */
+  /** Records the server on which a request with strikes runs; the returned function removes the record. */
+  addPlacement(service: string, attemptId: string, instanceId: string): () => void;
+  /** Records a strike and shares it in the background. */
   report(strike: Strike): void;
-  /** The request completed: earlier strikes were another's fault. */
+  /** Call it when the request has completed: another request caused its earlier strikes. */
   clear(service: string, fingerprint: string): void;
-  /** Takes in strikes that a peer sent. */
+  /** Records strikes received from a peer. */
   receive(strikes: readonly Strike[]): void;
-  /** Takes in a record from the platform or a relay. */
+  /** Merges a record received from the platform or a relay. */
   mergeRecord(value: unknown): void;
   /** Drops expired records. */
   sweep(): void;
@@ -70,15 +70,15 @@
       return;
     }
     logger.warn('backend server died with the request in flight', { ...strike });
-    void share(strike.service, strike.fingerprint).then((shared) => {
-      if (!shared) {
+    void publish(strike.service, strike.fingerprint).then((isPublished) => {
+      if (!isPublished) {
         tellPeers([strike]);
       }
     });
   }
 
-  /** Merges the local record into the platform's object; false where that was not confirmed. */
-  async function share(service: string, fingerprint: string): Promise<boolean> {
+  /** Merges the local record into the platform's object; false if the write was not confirmed. */
+  async function publish(service: string, fingerprint: string): Promise<boolean> {
     const key = `${service}/${fingerprint}`;
     for (let attempt = 0; attempt < maxWriteTries; attempt += 1) {
       const record = quarantine.record(service, fingerprint);
@@ -102,14 +102,14 @@
         nowEpochMs: Date.now(),
       }),
     avoidInstances: quarantine.avoidInstances,
-    place(service, attemptId, instanceId) {
+    addPlacement(service, attemptId, instanceId) {
       quarantine.addPlacement(service, attemptId, instanceId);
       return () => quarantine.removePlacement(attemptId);
     },
     report,
     clear(service, fingerprint) {
       if (quarantine.clear(service, fingerprint)) {
-        void share(service, fingerprint);
+        void publish(service, fingerprint);
       }
     },
     receive: (strikes) =>
--- a/packages/entry/src/unreadyServers.ts
+++ b/packages/entry/src/unreadyServers.ts
@@ -1,13 +1,13 @@
 /**
- * Servers that just said, or showed, that they cannot work now: their engine restarts, or their backend
- * server is gone while the agent lives. Such a server answers fastest of all and would get every request
- * again; it is left out for a time that doubles while it stays like that. A preference only: where no
- * other server is left, it is asked all the same.
+ * Servers that recently reported or showed that they cannot serve: their engine restarts, or the backend
+ * server has died while its agent runs. Such a server replies faster than any other and would be given
+ * every request again, so it is skipped for a time that doubles while it stays unready. This is only a
+ * preference: if no other server is left, it is asked nevertheless.
  */
 import { createBoundedMap } from '@bluebellhitch/decisions';
 
 export interface UnreadyServersOptions {
-  /** First time that a server is left out. */
+  /** How long a server is skipped the first time, in ms. */
   holdMs?: number;
   maxHoldMs?: number;
   maxServers?: number;
@@ -15,7 +15,7 @@
 
 export interface UnreadyServers {
   mark(instanceId: string, nowMs: number): void;
-  /** The server has worked again. */
+  /** Call it when the server has served a request again. */
   clear(instanceId: string): void;
   current(nowMs: number): string[];
 }
