--- a/packages/entry/__tests__/support/harness.ts
+++ b/packages/entry/__tests__/support/harness.ts
@@ -1,4 +1,4 @@
-/** Runs an entry's callers' side on a loopback port, with fake agents. */
+/** Runs an entry's caller API on a loopback port, with fake agents. */
 import type { ExecutionContext } from 'ava';
 import { errAsync, okAsync } from 'neverthrow';
 import { serviceDocumentSchema, type ServiceDocument } from '@bluebellhitch/document';
@@ -76,7 +76,7 @@
   };
 }
 
-/** Starts the callers' side; it is closed when the test ends. */
+/** Starts the caller API; it is closed when the test ends. */
 export async function startHarness(t: ExecutionContext, options: HarnessOptions): Promise<Harness> {
   const { agents, limits = {} } = options;
   const api = createFakeAgentApi(agents);
--- a/packages/entry/src/claimStage.ts
+++ b/packages/entry/src/claimStage.ts
@@ -34,7 +34,7 @@
 /** Creates the claim guard of one request. */
 export function createClaimGuard(options: ClaimGuardOptions): ClaimGuard {
   const { claims, metrics, claimKey, requestId, expiresInMs = defaultExpiresInMs } = options;
-  let held: Claim | undefined;
+  let heldClaim: Claim | undefined;
 
   function onOutcome(outcome: ClaimOutcome): Refusal | undefined {
     if (outcome.kind === 'held') {
@@ -42,7 +42,7 @@
       return duplicateRefusal(outcome);
     }
     metrics.countClaim(claimOutcomes.taken);
-    held = outcome.claim;
+    heldClaim = outcome.claim;
     return undefined;
   }
 
@@ -57,7 +57,7 @@
 
   return {
     async take(attemptId) {
-      if (held !== undefined) {
+      if (heldClaim !== undefined) {
         return undefined;
       }
       const taken = await claims.take({ key: claimKey, requestId, attemptId, expiresInMs });
@@ -65,14 +65,14 @@
     },
     // A process that is paused after it took the claim may resume after the claim has expired and
     // another entry has run the request: dispatching then would run it twice.
-    allowsDispatch: () => held === undefined || monotonicNowMs() < held.dispatchBeforeMs,
+    allowsDispatch: () => heldClaim === undefined || monotonicNowMs() < heldClaim.dispatchBeforeMs,
     async settle(resolution) {
-      if (held === undefined) {
+      if (heldClaim === undefined) {
         return;
       }
       const change =
-        resolution === 'not-run' ? claims.release(held) : claims.finish(held, resolution);
-      held = undefined;
+        resolution === 'not-run' ? claims.release(heldClaim) : claims.finish(heldClaim, resolution);
+      heldClaim = undefined;
       const changed = await change;
       const released = resolution === 'not-run' && changed.isOk();
       metrics.countClaim(released ? claimOutcomes.released : claimOutcomes.kept);
--- a/packages/entry/src/placement.ts
+++ b/packages/entry/src/placement.ts
@@ -46,8 +46,8 @@
     await waitForSeparateServer(run, giveUpAtMs);
     const [decodeBids, prefillBids] = await collectUsableBids(run);
     observePressure(run, decodeBids);
-    const overtaken = decodeBids.length > 0 && filterSeparateBids(run, decodeBids).length === 0;
-    if (!overtaken || run.signal.aborted || monotonicNowMs() >= giveUpAtMs) {
+    const areAllTaken = decodeBids.length > 0 && filterSeparateBids(run, decodeBids).length === 0;
+    if (!areAllTaken || run.signal.aborted || monotonicNowMs() >= giveUpAtMs) {
       return reserveBest(run, attemptId, decodeBids, prefillBids, undefined);
     }
   }
