--- a/packages/entry/__tests__/callersSideDrain.test.ts
+++ b/packages/entry/__tests__/callersSideDrain.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type { StreamFrame } from '@bluebellhitch/protocol';
-import { createFakeAgent, tokens, untilAborted, wholeAnswer } from './support/fakeAgents';
+import { createFakeAgent, tokens, untilAborted, completeResponse } from './support/fakeAgents';
 import { chat, eventsOf, eventually, startHarness } from './support/harness';
 
 const service = 'draft-models';
@@ -16,7 +16,7 @@
   agent.frames = async function* gated(request): AsyncGenerator<StreamFrame> {
     yield* tokens(request, 1);
     await gate;
-    yield* wholeAnswer({ ...request, emitted: { tokenCount: 1, text: '' } });
+    yield* completeResponse({ ...request, emitted: { tokenCount: 1, text: '' } });
   };
   const { address, side } = await startHarness(t, { agents: [agent] });
   const running = await chat(address, { stream: true });
--- a/packages/entry/__tests__/modelRequest.test.ts
+++ b/packages/entry/__tests__/modelRequest.test.ts
@@ -9,7 +9,7 @@
   refusal,
   tokenAt,
   tokens,
-  wholeAnswer,
+  completeResponse,
   words,
   type FakeAgent,
 } from './support/fakeAgents';
@@ -31,7 +31,7 @@
     agent.frames = (request, signal) => {
       const isFirst = !started;
       started = true;
-      return isFirst ? frames(request, signal) : wholeAnswer(request);
+      return isFirst ? frames(request, signal) : completeResponse(request);
     };
   });
 }
@@ -68,7 +68,7 @@
   decode.frames = async function* watched(request): AsyncGenerator<StreamFrame> {
     yield* tokens(request, 2);
     heldAfterFirstToken = prefill.held.size;
-    yield* wholeAnswer({ ...request, emitted: { tokenCount: 2, text: '' } });
+    yield* completeResponse({ ...request, emitted: { tokenCount: 2, text: '' } });
   };
   const { address } = await startHarness(t, { agents: [decode, prefill] });
   const response = await chat(address, longPrompt);
@@ -297,7 +297,7 @@
     agent.frames = async function* gated(request): AsyncGenerator<StreamFrame> {
       yield* tokens(request, 1);
       await gate;
-      yield* wholeAnswer({ ...request, emitted: { tokenCount: 1, text: '' } });
+      yield* completeResponse({ ...request, emitted: { tokenCount: 1, text: '' } });
     };
   });
   const { address } = await startHarness(t, { agents });
@@ -368,7 +368,7 @@
         await new Promise((resolve) => {
           setTimeout(resolve, 30);
         });
-        yield* wholeAnswer(request);
+        yield* completeResponse(request);
       } finally {
         running -= 1;
       }
--- a/packages/entry/__tests__/strikes.test.ts
+++ b/packages/entry/__tests__/strikes.test.ts
@@ -52,7 +52,7 @@
   const sentStrikes: Strike[] = [];
   const strikes = createStrikes({
     platform: fake.platform,
-    tellPeers: (sent) => sentStrikes.push(...sent),
+    sendToPeers: (sent) => sentStrikes.push(...sent),
     logger: silentLogger,
   });
   return {
--- a/packages/entry/__tests__/support/fakeAgents.ts
+++ b/packages/entry/__tests__/support/fakeAgents.ts
@@ -76,7 +76,7 @@
       prefillMs: 5,
       load,
     }),
-    frames: (request) => wholeAnswer(request),
+    frames: (request) => completeResponse(request),
     plain: () => plainResponse(200, 'plain answer'),
     cancel: () => undefined,
     held: new Set(),
@@ -89,7 +89,7 @@
 }
 
 /** Yields the words after those already emitted, then the end marker. */
-export async function* wholeAnswer(request: StreamRequest): AsyncGenerator<StreamFrame> {
+export async function* completeResponse(request: StreamRequest): AsyncGenerator<StreamFrame> {
   yield* tokens(request, words.length);
   yield endOf(request);
 }
--- a/packages/entry/__tests__/support/harness.ts
+++ b/packages/entry/__tests__/support/harness.ts
@@ -177,7 +177,7 @@
       create: () => errUnavailable(unavailable),
       update: () => errUnavailable(unavailable),
     },
-    tellPeers: () => undefined,
+    sendToPeers: () => undefined,
     logger: silentLogger,
   });
 }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -75,7 +75,7 @@
     credentials: security,
     onControlBytes: metrics.countControlBytes,
   });
-  const strikes = createStrikes({ platform: options.platform, tellPeers: peers.tell, logger });
+  const strikes = createStrikes({ platform: options.platform, sendToPeers: peers.send, logger });
   const context = createContext(options, { agents, metrics, ring, strikes });
   let stopping = false;
   const isReady = () =>
@@ -206,7 +206,7 @@
   if (record.removed) {
     services.remove(record.key, record.generation);
     metrics.removeServiceLabels(record.key);
-    context.runtimes.forget(record.key);
+    context.runtimes.remove(record.key);
     return;
   }
   if (!services.put(record.value)) {
--- a/packages/entry/src/httpAgentClient.ts
+++ b/packages/entry/src/httpAgentClient.ts
@@ -33,7 +33,7 @@
   credentialsRefusedCode,
   type ControlBytesListener,
 } from './messageFetch';
-import { plainRefusal } from './plainRefusal';
+import { parsePlainRefusal } from './plainRefusal';
 
 export interface HttpAgentClientOptions {
   /** Absent: agents that ask for credentials refuse every call. */
@@ -278,7 +278,7 @@
         headers,
         body,
         load: parseLoad(headers),
-        refusal: plainRefusal(headers),
+        refusal: parsePlainRefusal(headers),
       };
     },
   );
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -31,7 +31,7 @@
   type HttpAgentClientOptions,
 } from './httpAgentClient';
 export type { Instances } from './instances';
-export { createModelRuns, type ModelRuns, type RunMembership } from './modelRuns';
+export { createModelRuns, type ModelRuns, type RunSubscription } from './modelRuns';
 export { stopReasons, type ModelRequest, type StopReason } from './modelTypes';
 export { createPlainApi, type PlainApi, type PlainApiOptions } from './plainApi';
 export {
--- a/packages/entry/src/modelRuns.ts
+++ b/packages/entry/src/modelRuns.ts
@@ -11,7 +11,7 @@
 import { labelsOf } from './runReports';
 
 /** A caller's subscription to a run. */
-export interface RunMembership {
+export interface RunSubscription {
   log: AnswerLog;
   /** Call it when the caller has disconnected or has its response; idempotent. */
   leave(): void;
@@ -19,7 +19,7 @@
 
 export interface ModelRuns {
   /** Starts the request, or joins the run with the same key and content. */
-  start(request: ModelRequest, shareKey?: string): RunMembership;
+  start(request: ModelRequest, shareKey?: string): RunSubscription;
   activeCount(): number;
   stopAll(reason: StopReason): void;
   /** Resolves when no request is running. */
@@ -65,7 +65,7 @@
     });
   }
 
-  function join(activeRun: ActiveRun): RunMembership {
+  function join(activeRun: ActiveRun): RunSubscription {
     let hasLeft = false;
     activeRun.callerCount += 1;
     return {
--- a/packages/entry/src/peerStrikes.ts
+++ b/packages/entry/src/peerStrikes.ts
@@ -22,7 +22,7 @@
 
 export interface PeerStrikes {
   /** Sends the strikes in the background; failures to reach a peer are only logged. */
-  tell(strikes: Strike[]): void;
+  send(strikes: Strike[]): void;
   close(): Promise<void>;
 }
 
@@ -52,7 +52,7 @@
   }
 
   return {
-    tell(strikes) {
+    send(strikes) {
       instances
         .entries()
         .filter(({ id }) => id !== entryId)
--- a/packages/entry/src/plainRefusal.ts
+++ b/packages/entry/src/plainRefusal.ts
@@ -4,7 +4,7 @@
 type HeaderValues = Record<string, string | string[] | undefined>;
 
 /** Returns undefined if the response comes from the backend server. */
-export function plainRefusal(headers: HeaderValues): AgentRefusal | undefined {
+export function parsePlainRefusal(headers: HeaderValues): AgentRefusal | undefined {
   const reason = agentRefusalReasonSchema.safeParse(headers[innerHeaders.refusal]);
   if (!reason.success) {
     return undefined;
--- a/packages/entry/src/serviceRuntimes.ts
+++ b/packages/entry/src/serviceRuntimes.ts
@@ -60,7 +60,7 @@
   policy: PlacementPolicy;
   of(service: string): ServiceRuntime;
   members(document: ServiceDocument): ServiceMembers;
-  forget(service: string): void;
+  remove(service: string): void;
   hints: LoadHints;
   linkRates: LinkRates;
   phaseModels: PhaseModels;
@@ -126,7 +126,7 @@
     policy,
     of: runtimeOf,
     members,
-    forget(service) {
+    remove(service) {
       runtimes.delete(service);
       cache.delete(service);
     },
--- a/packages/entry/src/strikes.ts
+++ b/packages/entry/src/strikes.ts
@@ -19,7 +19,7 @@
 export interface StrikesOptions {
   platform: Pick<PlatformApi, 'get' | 'create' | 'update'>;
   /** Sends strikes to the peers; used while the platform is unavailable. */
-  tellPeers: (strikes: Strike[]) => void;
+  sendToPeers: (strikes: Strike[]) => void;
   logger: Logger;
   quarantine?: Quarantine;
   /** Maximum number of tries of a conditional update that fails because of concurrent writers. */
@@ -55,7 +55,7 @@
 
 /** Creates the strikes of one entry. */
 export function createStrikes(options: StrikesOptions): Strikes {
-  const { platform, tellPeers, logger, maxWriteTries = 4 } = options;
+  const { platform, sendToPeers, logger, maxWriteTries = 4 } = options;
   const quarantine = options.quarantine ?? createQuarantine();
 
   function mergeRecord(value: unknown): void {
@@ -72,7 +72,7 @@
     logger.warn('backend server died with the request in flight', { ...strike });
     void publish(strike.service, strike.fingerprint).then((isPublished) => {
       if (!isPublished) {
-        tellPeers([strike]);
+        sendToPeers([strike]);
       }
     });
   }
--- a/packages/scenarios/src/world/world.ts
+++ b/packages/scenarios/src/world/world.ts
@@ -137,7 +137,7 @@
         },
         onGeneration: (process, service, generation) =>
           checks.onGeneration(process, service, generation),
-        tellPeers: (strikes) =>
+        sendToPeers: (strikes) =>
           [...entries.values()]
             .map((entry) => entry.core())
             .filter(({ process }) => process.state() === 'running')
--- a/packages/scenarios/src/world/worldEntry.ts
+++ b/packages/scenarios/src/world/worldEntry.ts
@@ -34,7 +34,7 @@
   dataCentre: string;
   onGeneration: (process: SimulatedProcess, service: string, generation: number) => void;
   /** Sends strikes to the other entries. */
-  tellPeers: (strikes: Strike[]) => void;
+  sendToPeers: (strikes: Strike[]) => void;
 }
 
 /** The components of one entry process. */
@@ -153,7 +153,7 @@
     const isShared = !isDisabled('strike-sharing');
     const strikes = createStrikes({
       platform: isShared ? platform : { get: down, create: down, update: down },
-      tellPeers: (list) => isShared && options.tellPeers(list),
+      sendToPeers: (list) => isShared && options.sendToPeers(list),
       logger: silentLogger,
     });
     return isDisabled('strikes') ? { ...strikes, report: () => undefined } : strikes;
