--- a/packages/entry/__tests__/callerErrors.test.ts
+++ b/packages/entry/__tests__/callerErrors.test.ts
@@ -14,7 +14,7 @@
   return startHarness(t, { agents, limits });
 }
 
-interface Fault {
+interface ErrorCase {
   path?: string;
   method?: string;
   headers?: Record<string, string>;
@@ -26,7 +26,7 @@
 const completion = (fields: object) => JSON.stringify({ model: 'draft-models', ...fields });
 const messages = [{ role: 'user', content: 'hello' }];
 
-const faults: Record<string, Fault> = {
+const errorCases: Record<string, ErrorCase> = {
   'malformed JSON': { body: '{"model": ', status: 400, reason: 'bad-request' },
   'a body without messages': { body: completion({}), status: 400, reason: 'bad-request' },
   'messages of a wrong type': {
@@ -69,19 +69,19 @@
     reason: 'bad-request',
   },
   'an unknown path': { path: '/nowhere', method: 'GET', status: 404, reason: 'unknown-service' },
-  'a path that only begins like a route': {
+  'a path that shares only a string prefix with a route': {
     path: '/counterfeit',
     method: 'GET',
     status: 404,
     reason: 'unknown-service',
   },
-  'a method that the route does not have': {
+  'a method that the route does not allow': {
     path: '/receipts',
     method: 'DELETE',
     status: 405,
     reason: 'bad-request',
   },
-  'a route that is not to be repeated, without Idempotency-Key': {
+  'a route that is not repeatable, without Idempotency-Key': {
     path: '/receipts',
     body: 'receipt',
     status: 400,
@@ -89,20 +89,24 @@
   },
 };
 
-Object.entries(faults).forEach(([name, fault]) => {
-  test(`${name}: ${fault.status}`, async (t) => {
+Object.entries(errorCases).forEach(([name, errorCase]) => {
+  test(`${name}: ${errorCase.status}`, async (t) => {
     const { address, side } = await start(t);
-    const { path = '/v1/chat/completions', method = 'POST', headers, body } = fault;
+    const { path = '/v1/chat/completions', method = 'POST', headers, body } = errorCase;
     const response = await fetch(`${address}${path}`, { method, headers, body });
-    t.is(response.status, fault.status);
+    t.is(response.status, errorCase.status);
     t.is(response.headers.get('content-type'), 'application/problem+json');
-    t.like(await response.json(), { reason: fault.reason, notRun: true, status: fault.status });
+    t.like(await response.json(), {
+      reason: errorCase.reason,
+      notRun: true,
+      status: errorCase.status,
+    });
     await eventually(t, () => side.activeCount() === 0);
   });
 });
 
-/** Sends bytes as they are; resolves with all that comes back. */
-async function exchange(address: string, lines: string[]): Promise<string> {
+/** Sends raw lines over TCP; resolves with everything received until the connection ends. */
+async function sendRaw(address: string, lines: string[]): Promise<string> {
   const { hostname, port } = new URL(address);
   const socket = connect(Number(port), hostname);
   socket.on('error', () => undefined);
@@ -114,61 +118,61 @@
 
 test('a header that is too large: 431', async (t) => {
   const { address } = await start(t);
-  const answer = await exchange(address, [...head, `X-Large: ${'x'.repeat(20_000)}`, '', '']);
-  t.regex(answer, /^HTTP\/1.1 431 /);
-  t.regex(answer, /"notRun":true/);
+  const response = await sendRaw(address, [...head, `X-Large: ${'x'.repeat(20_000)}`, '', '']);
+  t.regex(response, /^HTTP\/1.1 431 /);
+  t.regex(response, /"notRun":true/);
 });
 
 test('bytes that are not HTTP: 400', async (t) => {
   const { address } = await start(t);
-  t.regex(await exchange(address, ['NONSENSE', '', '']), /^HTTP\/1.1 400 /);
+  t.regex(await sendRaw(address, ['NONSENSE', '', '']), /^HTTP\/1.1 400 /);
 });
 
-// A sender stops in the middle of its body and keeps the connection open. Without a bound it would hold
-// a connection and a buffer for as long as it likes.
+// A sender stops in the middle of its body and keeps the connection open. Without a time limit it would
+// occupy a connection and a buffer indefinitely.
 test('a body that does not arrive in time: 408', async (t) => {
   const { address, side } = await start(t);
-  const answer = await exchange(address, [...head, 'Content-Length: 50', '', '{"model"']);
-  t.regex(answer, /^HTTP\/1.1 408 /);
+  const response = await sendRaw(address, [...head, 'Content-Length: 50', '', '{"model"']);
+  t.regex(response, /^HTTP\/1.1 408 /);
   t.is(side.activeCount(), 0);
 });
 
 test('a header that does not arrive in time: 408', async (t) => {
   const { address } = await start(t);
-  t.regex(await exchange(address, [...head, 'X-Slow: ']), /^HTTP\/1.1 408 /);
+  t.regex(await sendRaw(address, [...head, 'X-Slow: ']), /^HTTP\/1.1 408 /);
 });
 
-// `fetch` resolves dot segments itself, so the target is written by hand.
-test('dot segments around a route that is not to be repeated', async (t) => {
+// `fetch` resolves dot segments itself, so the request line is written by hand.
+test('dot segments do not bypass a route that is not repeatable', async (t) => {
   const { address } = await start(t);
   const target = 'POST /counter/%2e%2e/receipts HTTP/1.1';
-  const answer = await exchange(address, [target, 'Host: entry', 'Connection: close', '', '']);
-  t.regex(answer, /^HTTP\/1.1 400 /);
-  t.regex(answer, /missing-idempotency-key/);
+  const response = await sendRaw(address, [target, 'Host: entry', 'Connection: close', '', '']);
+  t.regex(response, /^HTTP\/1.1 400 /);
+  t.regex(response, /missing-idempotency-key/);
 });
 
 test('a chunked body that grows beyond the limit: 413', async (t) => {
   const { address } = await start(t);
   const chunk = `bb8\r\n${'x'.repeat(3_000)}`;
-  const answer = await exchange(address, [...head, 'Transfer-Encoding: chunked', '', chunk]);
-  t.regex(answer, /^HTTP\/1.1 413 /);
+  const response = await sendRaw(address, [...head, 'Transfer-Encoding: chunked', '', chunk]);
+  t.regex(response, /^HTTP\/1.1 413 /);
 });
 
-test('connections above the limit are told so', async (t) => {
+test('connections above the limit are refused with 503', async (t) => {
   const { address } = await startHarness(t, { agents: [], limits: { maxConnections: 1 } });
   const { hostname, port } = new URL(address);
-  const holder = connect(Number(port), hostname);
-  t.teardown(() => holder.destroy());
+  const openSocket = connect(Number(port), hostname);
+  t.teardown(() => openSocket.destroy());
   await new Promise((resolve) => {
-    holder.once('connect', resolve);
+    openSocket.once('connect', resolve);
   });
   const response = await chat(address);
   t.is(response.status, 503);
   t.truthy(response.headers.get('retry-after'));
 });
 
-test('a request id that is unusable is replaced', async (t) => {
+test('an invalid request id is replaced', async (t) => {
   const { address } = await start(t);
-  const given = await chat(address, {}, { headers: { 'x-request-id': 'request 7' } });
-  t.regex(given.headers.get('x-request-id') ?? '', /^[0-9a-f-]{36}$/);
+  const response = await chat(address, {}, { headers: { 'x-request-id': 'request 7' } });
+  t.regex(response.headers.get('x-request-id') ?? '', /^[0-9a-f-]{36}$/);
 });
--- a/packages/entry/__tests__/callersSide.test.ts
+++ b/packages/entry/__tests__/callersSide.test.ts
@@ -24,7 +24,7 @@
   t.true(agents.every(({ held }) => held.size === 0));
 });
 
-test('answers a completion in one piece, with its usage', async (t) => {
+test('returns a completion that is not streamed, with its usage', async (t) => {
   const { address } = await startHarness(t, { agents: modelAgents() });
   const response = await fetch(`${address}/v1/completions`, {
     method: 'POST',
@@ -45,7 +45,7 @@
   t.like(await response.json(), { data: [{ id: 'draft-models' }] });
 });
 
-test('passes a plain call to a server of the path, without hop-by-hop headers', async (t) => {
+test('forwards a plain call to a server of its route, without hop-by-hop headers', async (t) => {
   const agent = createFakeAgent({ id: 'plain-1', service: 'counter-app', role: 'plain' });
   const { address } = await startHarness(t, { agents: [agent] });
   const response = await fetch(`${address}/counter/balance?id=4`, {
--- a/packages/entry/__tests__/callersSideDrain.test.ts
+++ b/packages/entry/__tests__/callersSideDrain.test.ts
@@ -5,9 +5,9 @@
 
 const service = 'draft-models';
 
-// Operators stop an entry while it streams a letter. The letter must arrive whole; new requests belong
-// to the other entries.
-test('a drain finishes running answers and takes no new request', async (t) => {
+// An entry is stopped while it streams a response: the response must be completed, and new requests must be
+// refused, as other entries handle them.
+test('a drain completes running responses and accepts no new request', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   let release: () => void = () => undefined;
   const gate = new Promise<void>((resolve) => {
@@ -27,7 +27,7 @@
   t.true(await drained);
 });
 
-test('a drain ends what is left at its bound, explicitly', async (t) => {
+test('a drain ends the remaining responses with an error after its timeout', async (t) => {
   const agent = createFakeAgent({ id: 'agent-1', service });
   agent.frames = async function* endless(request, signal): AsyncGenerator<StreamFrame> {
     yield* tokens(request, 1);
--- a/packages/entry/__tests__/callersTls.test.ts
+++ b/packages/entry/__tests__/callersTls.test.ts
@@ -10,7 +10,7 @@
 import { createFakeAgent, words } from './support/fakeAgents';
 import { startHarness } from './support/harness';
 
-/** A key pair for tests only: Node cannot make a certificate without another process. */
+/** Path of the test-only certificate or key, which are files because Node cannot generate a certificate itself. */
 const pathOf = (name: string) => fileURLToPath(new URL(`support/tls/${name}`, import.meta.url));
 const callersTlsCertFile = pathOf('testOnlyCertificate.pem');
 const callersTlsKeyFile = pathOf('testOnlyKey.pem');
@@ -29,18 +29,18 @@
 test('serves callers over TLS that trust its certificate, and no others', async (t) => {
   const { address } = await startHarness(t, { agents: modelAgents(), tls });
   t.regex(address, /^https:/);
-  const trusting = new Agent({ connect: { ca } });
-  t.teardown(() => trusting.close());
+  const trustingAgent = new Agent({ connect: { ca } });
+  t.teardown(() => trustingAgent.close());
   const response = await undiciFetch(`${address}/v1/completions`, {
     ...completion,
-    dispatcher: trusting,
+    dispatcher: trustingAgent,
   });
   t.like(await response.json(), { choices: [{ text: words.join('') }] });
   await t.throwsAsync(fetch(`${address}/v1/completions`, completion));
 });
 
-// A caller without TLS reaches the port, and another one opens a connection and never shakes hands. Neither
-// may get an answer, keep its connection or end the process.
+// A caller without TLS, and one that connects but never starts a TLS handshake, must get no response, must not keep
+// their connection and must not terminate the process.
 test('connections without TLS are closed', async (t) => {
   const { address } = await startHarness(t, {
     agents: modelAgents(),
@@ -49,37 +49,37 @@
   });
   const plain = address.replace('https', 'http');
   await t.throwsAsync(fetch(`${plain}/v1/completions`, completion));
-  const silent = connectPlain(Number(new URL(address).port), '127.0.0.1');
-  t.teardown(() => silent.destroy());
-  silent.resume();
-  await once(silent, 'close');
-  const trusting = new Agent({ connect: { ca } });
-  t.teardown(() => trusting.close());
-  const models = await undiciFetch(`${address}/v1/models`, { dispatcher: trusting });
+  const idleSocket = connectPlain(Number(new URL(address).port), '127.0.0.1');
+  t.teardown(() => idleSocket.destroy());
+  idleSocket.resume();
+  await once(idleSocket, 'close');
+  const trustingAgent = new Agent({ connect: { ca } });
+  t.teardown(() => trustingAgent.close());
+  const models = await undiciFetch(`${address}/v1/models`, { dispatcher: trustingAgent });
   t.is(models.status, 200);
 });
 
-// The limit on connections marks sockets; behind TLS a request's socket is not the one that was accepted.
-test('the limit on connections holds behind TLS', async (t) => {
+// The connection limit marks sockets, and behind TLS the socket of a request is not the one that was accepted.
+test('the connection limit applies behind TLS', async (t) => {
   const { address } = await startHarness(t, {
     agents: modelAgents(),
     tls,
     limits: { maxConnections: 1 },
   });
   const { hostname, port } = new URL(address);
-  const first = connect({ host: hostname, port: Number(port), ca });
-  t.teardown(() => first.destroy());
+  const openSocket = connect({ host: hostname, port: Number(port), ca });
+  t.teardown(() => openSocket.destroy());
   await new Promise((resolve) => {
-    first.once('secureConnect', resolve);
+    openSocket.once('secureConnect', resolve);
   });
-  const trusting = new Agent({ connect: { ca } });
-  t.teardown(() => trusting.close());
-  const refused = await undiciFetch(`${address}/v1/models`, { dispatcher: trusting });
+  const trustingAgent = new Agent({ connect: { ca } });
+  t.teardown(() => trustingAgent.close());
+  const refused = await undiciFetch(`${address}/v1/models`, { dispatcher: trustingAgent });
   t.is(refused.status, 503);
   t.like(await refused.json(), { notRun: true });
 });
 
-test('faults of the files are findings', (t) => {
+test('missing, unreadable and mismatched files are findings', (t) => {
   const findingsOf = (settings: Parameters<typeof readCallersTls>[0]) =>
     formatFindings(readCallersTls(settings)._unsafeUnwrapErr());
   t.is(readCallersTls({})._unsafeUnwrap(), undefined);
--- a/packages/entry/__tests__/httpAgentClient.test.ts
+++ b/packages/entry/__tests__/httpAgentClient.test.ts
@@ -55,15 +55,15 @@
   return frames;
 }
 
-const eventOf = (value: unknown) => `data: ${JSON.stringify(value)}\n\n`;
+const formatEvent = (value: unknown) => `data: ${JSON.stringify(value)}\n\n`;
 
-test('reads frames across chunk borders and counts malformed ones', async (t) => {
+test('reads frames across chunk boundaries and counts malformed ones', async (t) => {
   let malformedCount = 0;
   const frames = [tokenAt('attempt-1', 0), tokenAt('attempt-1', 1), endOf(request)];
   const { client, address } = await start(
     t,
     (_incoming, outgoing) => {
-      const bytes = `${frames.map(eventOf).join('')}data: nonsense\n\n`;
+      const bytes = `${frames.map(formatEvent).join('')}data: nonsense\n\n`;
       outgoing.writeHead(200, { 'content-type': 'text/event-stream' });
       outgoing.write(bytes.slice(0, 37));
       setTimeout(() => outgoing.end(bytes.slice(37)), 20);
@@ -79,22 +79,22 @@
   t.is(malformedCount, 1);
 });
 
-test('a stream whose connection breaks just ends', async (t) => {
+test('a stream whose connection breaks ends without an error', async (t) => {
   const { client, address } = await start(t, (_incoming, outgoing) => {
     outgoing.writeHead(200, { 'content-type': 'text/event-stream' });
-    outgoing.write(eventOf(tokenAt('attempt-1', 0)), () => outgoing.destroy());
+    outgoing.write(formatEvent(tokenAt('attempt-1', 0)), () => outgoing.destroy());
   });
   const stream = (await client.openStream(address, request, options))._unsafeUnwrap();
   t.is((await collect(stream)).length, 1);
 });
 
-// The entry finds an answer broken and stops reading in the middle. The agent must see the connection
-// close, and the destroyed body must not end the process and every other answer with it.
-test('a stream that is left in the middle closes its connection quietly', async (t) => {
+// The entry finds a response invalid and stops reading before its end. The agent must see the connection
+// close, and the destroyed body must not terminate the process and with it all other responses.
+test('a stream that is not read to its end closes its connection without an error', async (t) => {
   let closed = false;
   const { client, address } = await start(t, (_incoming, outgoing) => {
     outgoing.writeHead(200, { 'content-type': 'text/event-stream' });
-    outgoing.write(eventOf(tokenAt('attempt-1', 0)));
+    outgoing.write(formatEvent(tokenAt('attempt-1', 0)));
     outgoing.once('close', () => {
       closed = true;
     });
@@ -116,7 +116,7 @@
   t.is(opened._unsafeUnwrapErr().kind, 'not-sent');
 });
 
-test('a call without an answer in time, a broken one and a cancelled one are told apart', async (t) => {
+test('distinguishes calls that time out, break and are cancelled', async (t) => {
   const { client, address } = await start(t, (incoming, outgoing) => {
     if (incoming.url?.includes('reserve')) {
       outgoing.destroy();
@@ -132,7 +132,7 @@
   t.is(lost._unsafeUnwrapErr().kind, 'lost');
 });
 
-test('a reply that does not have its schema is malformed', async (t) => {
+test('a reply that does not match its schema is malformed', async (t) => {
   const { client, address } = await start(t, (_incoming, outgoing) => {
     outgoing.setHeader('content-type', 'application/json');
     outgoing.end(JSON.stringify({ result: { data: { incarnation: 7 } } }));
@@ -140,7 +140,7 @@
   t.is((await client.bid(address, bidRequest, options))._unsafeUnwrapErr().kind, 'malformed');
 });
 
-test('tells the refusal of an agent from the answer of a backend server', async (t) => {
+test('distinguishes a refusal by an agent from a response of a backend server', async (t) => {
   const { client, address } = await start(t, (incoming, outgoing) => {
     const refuses = incoming.url === '/plain/refuse';
     outgoing.writeHead(503, {
--- a/packages/entry/__tests__/innerSecurity.test.ts
+++ b/packages/entry/__tests__/innerSecurity.test.ts
@@ -13,10 +13,10 @@
 import { startInnerServer } from '../src/innerServer';
 
 const key = { id: 'k1', secret: 'the-secret-that-the-whole-fleet-knows' };
-const strangerKey = { id: 'k1', secret: 'a-secret-that-a-stranger-made-up-here' };
+const untrustedKey = { id: 'k1', secret: 'a-secret-that-a-stranger-made-up-here' };
 const security = createInnerSecurity({ keys: [key], instanceId: 'entry-1' });
 const peer = createInnerSecurity({ keys: [key], instanceId: 'entry-2' });
-const stranger = createInnerSecurity({ keys: [strangerKey], instanceId: 'entry-2' });
+const untrustedPeer = createInnerSecurity({ keys: [untrustedKey], instanceId: 'entry-2' });
 
 async function start(t: ExecutionContext) {
   const received: Strike[][] = [];
@@ -36,25 +36,25 @@
     },
   });
   t.teardown(server.close);
-  const clientOf = (sender: InnerCredentials | undefined, audience: InnerAudience) => {
+  const createClient = (sender: InnerCredentials | undefined, audience: InnerAudience) => {
     const headers = credentialHeaders(sender, audience);
     const url = `${server.address}/trpc`;
     return createTRPCClient<EntryRouter>({ links: [httpLink({ url, headers })] });
   };
-  return { server, clientOf, received, refusedCount: () => refusedCount };
+  return { server, createClient, received, refusedCount: () => refusedCount };
 }
 
 const poll = { services: [], waitMs: 0 } as never;
 
-// A stranger who could report strikes would have any request of a customer refused for hours.
-test('a stranger can neither report strikes nor follow the feed', async (t) => {
-  const { clientOf, received, refusedCount } = await start(t);
-  const senders = [undefined, stranger].flatMap((sender) => [
-    clientOf(sender, innerAudiences.entry),
-    clientOf(sender, innerAudiences.feed),
+// A process without valid keys that could report strikes could have any customer's request refused for hours.
+test('a process without valid keys can neither report strikes nor follow the feed', async (t) => {
+  const { createClient, received, refusedCount } = await start(t);
+  const clients = [undefined, untrustedPeer].flatMap((sender) => [
+    createClient(sender, innerAudiences.entry),
+    createClient(sender, innerAudiences.feed),
   ]);
   await Promise.all(
-    senders.flatMap((client) => [
+    clients.flatMap((client) => [
       t.throwsAsync(client.strike.mutate([])),
       t.throwsAsync(client.feed.query(poll)),
     ]),
@@ -63,11 +63,11 @@
   t.is(refusedCount(), 8);
 });
 
-// Agents follow the feed and have no business with strikes: their tokens for the one do not open the other,
-// nor do calls that name both in one message.
-test('a token for the feed does not open strikes', async (t) => {
-  const { server, clientOf, received } = await start(t);
-  await t.throwsAsync(clientOf(peer, innerAudiences.feed).strike.mutate([]));
+// Agents follow the feed but may not report strikes: a token for the feed must not authorise strikes, and neither must
+// a batched call that names both procedures.
+test('a token for the feed does not authorise strikes', async (t) => {
+  const { server, createClient, received } = await start(t);
+  await t.throwsAsync(createClient(peer, innerAudiences.feed).strike.mutate([]));
   const authorization = (await peer.bearer(innerAudiences.feed)) ?? '';
   const both = await fetch(`${server.address}/trpc/feed,strike?batch=1`, {
     method: 'POST',
@@ -76,25 +76,27 @@
   });
   t.is(both.status, 401);
   t.deepEqual(received, []);
-  await clientOf(peer, innerAudiences.entry).strike.mutate([]);
+  await createClient(peer, innerAudiences.entry).strike.mutate([]);
   t.is(received.length, 1);
-  t.like(await clientOf(peer, innerAudiences.feed).feed.query(poll), { cursor: '1' });
+  t.like(await createClient(peer, innerAudiences.feed).feed.query(poll), { cursor: '1' });
 });
 
-test('answers to polls of the feed carry a seal that followers ask for', async (t) => {
+test('replies to feed polls carry the seal that followers require', async (t) => {
   const { server } = await start(t);
   const callFeed = createFeedClient({ credentials: peer });
   const reply = await callFeed(server.address, poll, AbortSignal.timeout(2_000));
   t.like(reply._unsafeUnwrap(), { cursor: '1' });
-  const distrustful = createFeedClient({ credentials: { ...peer, isSealed: stranger.isSealed } });
-  t.true((await distrustful(server.address, poll, AbortSignal.timeout(2_000))).isErr());
+  const rejectingClient = createFeedClient({
+    credentials: { ...peer, isSealed: untrustedPeer.isSealed },
+  });
+  t.true((await rejectingClient(server.address, poll, AbortSignal.timeout(2_000))).isErr());
 });
 
-// The keys of an entry and an agent differ for a while, by an operator's mistake. What the agent refused did
-// certainly not run, so that the entry may go elsewhere, and a caller never sees the agent's 401.
-test('refused credentials count as not run', async (t) => {
+// The keys of an entry and an agent may differ for a while through an operator's mistake. A call that the agent refuses
+// cannot have run, so the entry may try another agent, and a caller must never receive the agent's 401.
+test('calls with refused credentials count as not run', async (t) => {
   const { server } = await start(t);
-  const client = createHttpAgentClient({ credentials: stranger });
+  const client = createHttpAgentClient({ credentials: untrustedPeer });
   t.teardown(client.close);
   const bid = await client.bid(server.address, {} as never, { timeoutMs: 1_000 });
   t.like(bid._unsafeUnwrapErr(), { kind: 'not-sent' });
--- a/packages/entry/__tests__/serviceTable.test.ts
+++ b/packages/entry/__tests__/serviceTable.test.ts
@@ -10,9 +10,9 @@
   document: serviceDocumentSchema.parse(base),
 });
 
-// A relay that lags offers an older document after a newer one is in force. Applied, it would undo an
+// A lagging relay delivers an older document while a newer one is active. Applying it would undo an
 // edit that its team saw accepted.
-test('never takes a lower generation', (t) => {
+test('never applies a lower or equal generation', (t) => {
   const table = createServiceTable();
   t.true(table.put(accepted(modelDocument, 5)));
   t.false(table.put(accepted(modelDocument, 4)));
@@ -20,7 +20,7 @@
   t.is(table.get('draft-models')?.generation, 5);
 });
 
-test('a removed service does not come back with an old document', (t) => {
+test('an old document does not restore a removed service', (t) => {
   const table = createServiceTable();
   table.put(accepted(modelDocument, 5));
   table.remove('draft-models', 4);
@@ -31,7 +31,7 @@
   t.true(table.put(accepted(modelDocument, 6)));
 });
 
-test('refuses a value that is no accepted document', (t) => {
+test('refuses a value that is not an accepted document', (t) => {
   t.false(createServiceTable().put({ generation: 1, document: { service: 'x' } }));
 });
 
@@ -65,7 +65,7 @@
   t.is(find('/receipts/4'), 1);
   t.is(find('/receipts', 'POST'), 2);
   t.is(find('/receipts', 'GET', 'Counter.Example:8080'), 3);
-  t.true(table.hasHost('counter.example:80'));
+  t.true(table.hasPlainHost('counter.example:80'));
 });
 
 function matches(
--- a/packages/entry/src/agentApi.ts
+++ b/packages/entry/src/agentApi.ts
@@ -1,6 +1,6 @@
 /**
- * The agents beside backend servers as an entry sees them. One implementation talks trpc and HTTP;
- * tests put fakes behind the same interface.
+ * Client interface of an entry to the agents that run beside backend servers. `createHttpAgentClient` implements it
+ * over tRPC and HTTP; tests use fakes.
  */
 import type { ResultAsync } from 'neverthrow';
 import type { Readable } from 'node:stream';
@@ -21,14 +21,14 @@
 } from '@bluebellhitch/protocol';
 
 export type AgentCallError =
-  /** No connection: the agent certainly did not see the call. */
+  /** No connection: the agent cannot have received the call. */
   | { kind: 'not-sent'; detail: string }
-  /** No answer in time: the agent may or may not have acted. */
+  /** No response in time: the agent may or may not have acted. */
   | { kind: 'timeout'; detail: string }
   /** The connection broke after the call was sent. */
   | { kind: 'lost'; detail: string }
   | { kind: 'malformed'; detail: string }
-  /** The entry itself gave the call up. */
+  /** The entry cancelled the call. */
   | { kind: 'cancelled' };
 
 export interface AgentCallOptions {
@@ -36,32 +36,32 @@
   signal?: AbortSignal;
 }
 
-/** What opening a stream can fail with: a refusal by the agent, or a failed call. */
+/** Error of opening a stream: a refusal by the agent, or a failed call. */
 export type StreamOpenError = AgentCallError | AgentRefusal;
 
-/** A plain call on its way to the agent. */
+/** A plain call that an entry forwards to an agent. */
 export interface PlainCall {
   method: string;
   /** Path and query as the caller sent them. */
   target: string;
   headers: Record<string, string | string[]>;
   body?: Readable | Buffer;
-  /** Time until the response's head must have arrived. */
+  /** Time within which the response head must arrive. */
   headTimeoutMs: number;
   signal: AbortSignal;
 }
 
-/** The head of a plain answer; `body` must be read or destroyed. */
+/** Response to a plain call; `body` must be read or destroyed. */
 export interface PlainAnswer {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   body: Readable;
   load?: LoadHint;
-  /** Set where the agent itself answered instead of the backend server. */
+  /** Set if the agent refused the call instead of forwarding it to the backend server. */
   refusal?: AgentRefusal;
 }
 
-/** `address` is the agent's `http://ip:port` in each call. */
+/** In each call, `address` is the agent's `http://ip:port`. */
 export interface AgentApi {
   bid(
     address: string,
@@ -88,7 +88,7 @@
     heartbeat: Heartbeat,
     options: AgentCallOptions,
   ): ResultAsync<HeartbeatReply, AgentCallError>;
-  /** Iteration ends without an `end` or `failed` frame where the connection broke. */
+  /** The iteration ends without an `end` or `failed` frame if the connection broke. */
   openStream(
     address: string,
     request: StreamRequest,
--- a/packages/entry/src/agentEventStream.ts
+++ b/packages/entry/src/agentEventStream.ts
@@ -1,11 +1,11 @@
-/** Reads an agent's event stream: one JSON `StreamFrame` an event, checked by schema. */
+/** Reads an agent's event stream, in which each event is one `StreamFrame` as JSON. */
 import { createParser } from 'eventsource-parser';
 import type { Readable } from 'node:stream';
 import { streamFrameSchema, type StreamFrame } from '@bluebellhitch/protocol';
 
 /**
- * Yields the frames in order. Ends early where the connection breaks; the reader tells that from the
- * missing `end` frame. `onMalformed` is called for each event that is not a frame.
+ * Yields the frames in order. Ends early if the connection breaks, which the reader recognises by the
+ * missing `end` frame. Calls `onMalformed` for each event that is not a valid frame.
  */
 export async function* readFrames(
   body: Readable,
@@ -30,7 +30,7 @@
       yield* frames.splice(0);
     }
   } catch {
-    // A broken connection is an answer without its end, which the caller of this function handles.
+    // After a broken connection the `end` frame is missing, which the caller of this function handles.
   } finally {
     body.destroy();
   }
--- a/packages/entry/src/answerLog.ts
+++ b/packages/entry/src/answerLog.ts
@@ -1,7 +1,7 @@
 /**
- * The answer of one model request: an append-only log of events that any number of callers read, each
- * at its own speed. A slow reader thus never holds engine memory, and requests with the same
- * idempotency key share one run. Its size is bounded by the request's output limit.
+ * The response to one model request: an append-only log of events that any number of callers read, each
+ * at its own speed. A slow reader therefore never keeps engine memory allocated, and requests with the
+ * same idempotency key share one run. The request's output limit bounds the size of the log.
  */
 import type { FinishReason } from '@bluebellhitch/protocol';
 import { invariant, type Refusal } from '@bluebellhitch/shared';
@@ -9,18 +9,17 @@
 export type AnswerEvent =
   | { kind: 'tokens'; text: string; tokenCount: number }
   | { kind: 'end'; finishReason: FinishReason; outputTokens: number }
-  /** The request failed; where tokens came before it, the answer is incomplete. */
+  /** The request failed; if tokens precede this event, the response is incomplete. */
   | { kind: 'refused'; refusal: Refusal };
 
 export interface AnswerLog {
   append(event: AnswerEvent): void;
-  /** All events from the first one; ends after `end` or `refused`, or when `signal` aborts. */
+  /** Reads all events from the first; ends after `end` or `refused`, or when `signal` aborts. */
   read(signal?: AbortSignal): AsyncIterable<AnswerEvent>;
   /** Whether the last event has been appended. */
   isClosed(): boolean;
 }
 
-/** Creates an empty log. */
 export function createAnswerLog(): AnswerLog {
   const events: AnswerEvent[] = [];
   const waiters = new Set<() => void>();
@@ -61,7 +60,7 @@
 
   return {
     append(event) {
-      invariant(!closed, 'an answer has one last event');
+      invariant(!closed, 'cannot append to a closed response log');
       closed = event.kind !== 'tokens';
       events.push(event);
       wakeReaders();
--- a/packages/entry/src/bin.ts
+++ b/packages/entry/src/bin.ts
@@ -1,4 +1,4 @@
-/** `bluebell-entry`: takes callers' requests and routes them to agents. */
+/** Executable `bluebell-entry`: accepts callers' requests and routes them to agents. */
 import { innerSecurityOf, readInnerKeys } from '@bluebellhitch/security';
 import { Result } from 'neverthrow';
 import { exitCodes, exitOnInvalidSettings, loadSettingsOrExit } from '@bluebellhitch/shared';
--- a/packages/entry/src/callerExchange.ts
+++ b/packages/entry/src/callerExchange.ts
@@ -1,7 +1,7 @@
-/** One request of a caller, as the handlers of the callers' side see it. */
+/** One request of a caller and its response, as the handlers of the caller API see them. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { createRefusal, refusalReasons, type Refusal } from '@bluebellhitch/shared';
-import { findHeaderFault, requestIdOf } from './headers';
+import { findHeaderError, resolveRequestId } from './headers';
 import { sendProblem } from './problem';
 import type { BodyError } from './requestBody';
 
@@ -9,35 +9,34 @@
   requestId: string;
   incoming: IncomingMessage;
   outgoing: ServerResponse;
-  /** Aborts when the caller's connection closes before the response has been sent. */
+  /** Aborts when the caller's connection closes before the response is complete. */
   gone: AbortSignal;
   refuse(refusal: Refusal, status?: number): void;
 }
 
-const slowSenderStatus = 408;
+const requestTimeoutStatus = 408;
 
-/** Wraps Node's request and response. */
 export function createCallerExchange(
   incoming: IncomingMessage,
   outgoing: ServerResponse,
 ): CallerExchange {
-  const requestId = requestIdOf(incoming.headers);
-  const gone = new AbortController();
+  const requestId = resolveRequestId(incoming.headers);
+  const disconnect = new AbortController();
   outgoing.once('close', () => {
     if (!outgoing.writableFinished) {
-      gone.abort();
+      disconnect.abort();
     }
   });
-  // A reset connection is reported on the request as well; `close` above tells what matters.
+  // A reset connection also emits `error` on the request; the `close` handler above deals with it.
   incoming.on('error', () => undefined);
   return {
     requestId,
     incoming,
     outgoing,
-    gone: gone.signal,
+    gone: disconnect.signal,
     refuse(refusal, status) {
       if (!incoming.complete) {
-        // The rest of the body is not read: the connection cannot serve another request.
+        // The rest of the body is not read, so the connection cannot serve another request.
         outgoing.shouldKeepAlive = false;
       }
       sendProblem(outgoing, refusal, { requestId, status });
@@ -45,16 +44,16 @@
   };
 }
 
-/** Refuses a request whose headers are wrong; true where it did. */
+/** Refuses a request with invalid headers; returns whether it did. */
 export function refuseBadHeaders(exchange: CallerExchange): boolean {
-  const fault = findHeaderFault(exchange.incoming.headers);
-  if (fault !== undefined) {
-    exchange.refuse(createRefusal({ reason: refusalReasons.badRequest, detail: fault }));
+  const error = findHeaderError(exchange.incoming.headers);
+  if (error !== undefined) {
+    exchange.refuse(createRefusal({ reason: refusalReasons.badRequest, detail: error }));
   }
-  return fault !== undefined;
+  return error !== undefined;
 }
 
-/** Answers a request whose body could not be read. */
+/** Refuses a request whose body could not be read. */
 export function refuseBody(exchange: CallerExchange, error: BodyError): void {
   switch (error.kind) {
     case 'too-large':
@@ -71,7 +70,7 @@
           reason: refusalReasons.badRequest,
           detail: `the body did not arrive within ${error.timeoutMs} ms`,
         }),
-        slowSenderStatus,
+        requestTimeoutStatus,
       );
       return;
     default:
--- a/packages/entry/src/callersServer.ts
+++ b/packages/entry/src/callersServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP server for callers: routes, limits on connections and headers, and a graceful stop. */
+/** HTTP server for callers: routes, limits on connections and headers, graceful shutdown. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { createServer as createTlsServer } from 'node:https';
 import type { AddressInfo, Socket } from 'node:net';
@@ -10,35 +10,35 @@
 import { createCallerExchange, type CallerExchange } from './callerExchange';
 import type { CallersTls } from './callersTls';
 import type { CompletionsApi } from './completionsApi';
-import { answerClientError } from './clientErrors';
+import { respondToClientError } from './clientErrors';
 
 export interface CallersServerOptions {
   host: string;
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   port: number;
-  /** Absent: plain HTTP. */
+  /** Certificate and key; plain HTTP if omitted. */
   tls?: CallersTls;
   completions: CompletionsApi;
   plain: { handle(exchange: CallerExchange): Promise<void> };
-  /** Whether a plain service has the host to itself. */
-  hasHost: (host: string) => boolean;
+  /** Whether a route of a plain service names this host. */
+  hasPlainHost: (host: string) => boolean;
   logger: Logger;
   maxHeaderBytes: number;
   maxConnections: number;
-  /** Bound for a request's header to arrive. */
+  /** Time within which the header of a request must arrive. */
   headersTimeoutMs: number;
 }
 
 export interface CallersServer {
   /** `http://ip:port`, or `https` with TLS. */
   address: string;
-  /** Requests that have no complete response yet. */
+  /** Number of requests whose response is not complete yet. */
   activeCount(): number;
-  /** Takes no new connection or request; running ones go on. */
+  /** Refuses new connections and requests; running requests continue. */
   stopAccepting(): void;
-  /** Resolves when no request runs. */
-  idle(): Promise<void>;
-  /** Closes what is still open. */
+  /** Resolves once no request is running. */
+  whenIdle(): Promise<void>;
+  /** Closes the server and all connections that are still open. */
   close(): Promise<void>;
 }
 
@@ -46,22 +46,22 @@
 type Handler = (exchange: CallerExchange) => Promise<void> | void;
 
 const keepAliveTimeoutMs = 30_000;
-const timeoutCheckMs = 1_000;
-/** Connections above the limit that still get an answer saying so. */
-const refusedConnections = 64;
+const timeoutCheckIntervalMs = 1_000;
+/** Connections above the limit that are accepted only to refuse their requests with a response. */
+const maxRefusedConnections = 64;
 
-/** Starts the server; rejects where the port is taken. */
+/** Starts the server; rejects if the port is in use. */
 export async function startCallersServer(options: CallersServerOptions): Promise<CallersServer> {
   const { host, port, tls, logger } = options;
   const active = new Set<CallerExchange>();
   const idleWaiters: (() => void)[] = [];
-  const excess = new WeakSet<Socket>();
+  const excessSockets = new WeakSet<Socket>();
   let accepting = true;
 
-  function finish(exchange: CallerExchange): void {
+  function removeActive(exchange: CallerExchange): void {
     active.delete(exchange);
     if (active.size === 0) {
-      idleWaiters.splice(0).forEach((wake) => wake());
+      idleWaiters.splice(0).forEach((resolve) => resolve());
     }
   }
 
@@ -71,17 +71,20 @@
     handler: Handler,
   ): Promise<void> {
     const exchange = createCallerExchange(incoming, outgoing);
-    if (!accepting || excess.has(incoming.socket)) {
+    if (!accepting || excessSockets.has(incoming.socket)) {
       refuseUnserved(exchange, accepting);
       return;
     }
     active.add(exchange);
-    outgoing.once('close', () => finish(exchange));
+    outgoing.once('close', () => removeActive(exchange));
     try {
       await handler(exchange);
     } catch (error) {
-      logger.error('request failed', { requestId: exchange.requestId, error });
-      refuseDefect(exchange);
+      logger.error('unexpected error in a request handler', {
+        requestId: exchange.requestId,
+        error,
+      });
+      respondInternalError(exchange);
     }
   }
 
@@ -90,9 +93,14 @@
     return RESPONSE_ALREADY_SENT;
   });
   const server = createHttpServer(app, options);
-  limitConnections(server, tls === undefined ? 'connection' : 'secureConnection', options, excess);
-  server.on('clientError', answerClientError);
-  // A socket without a finished handshake cannot be ended in the usual way and would stay open.
+  limitConnections(
+    server,
+    tls === undefined ? 'connection' : 'secureConnection',
+    options,
+    excessSockets,
+  );
+  server.on('clientError', respondToClientError);
+  // Ending a socket whose TLS handshake has not finished does not close it, so it is destroyed.
   server.on('tlsClientError', (_error, socket: Socket) => socket.destroy());
   await listen(server, host, port);
   const { address, port: boundPort } = server.address() as AddressInfo;
@@ -105,7 +113,7 @@
       server.close();
       server.closeIdleConnections();
     },
-    idle: () =>
+    whenIdle: () =>
       active.size === 0
         ? Promise.resolve()
         : new Promise((resolve) => {
@@ -123,10 +131,10 @@
   const serverOptions = {
     maxHeaderSize: options.maxHeaderBytes,
     headersTimeout: options.headersTimeoutMs,
-    // Bodies have bounds of their own, which let a long upload go on while it makes progress.
+    // Bodies have their own time limits, which allow a long upload as long as it makes progress.
     requestTimeout: 0,
     keepAliveTimeout: keepAliveTimeoutMs,
-    connectionsCheckingInterval: timeoutCheckMs,
+    connectionsCheckingInterval: timeoutCheckIntervalMs,
   };
   const shared = { fetch, overrideGlobalObjects: false };
   const { tls, headersTimeoutMs: handshakeTimeout } = options;
@@ -142,22 +150,22 @@
 }
 
 function createRoutes(
-  { completions, plain, hasHost }: CallersServerOptions,
+  { completions, plain, hasPlainHost }: CallersServerOptions,
   handle: (context: Context<{ Bindings: HttpBindings }>, handler: Handler) => Promise<Response>,
 ): App {
   const app: App = new Hono();
-  const isPlainHost = (context: Context) => hasHost(context.req.header('host') ?? '');
-  const unlessPlain = (handler: Handler) => (context: Context<{ Bindings: HttpBindings }>) =>
+  const isPlainHost = (context: Context) => hasPlainHost(context.req.header('host') ?? '');
+  const unlessPlainHost = (handler: Handler) => (context: Context<{ Bindings: HttpBindings }>) =>
     handle(context, isPlainHost(context) ? plain.handle : handler);
   app.post(
     '/v1/chat/completions',
-    unlessPlain((exchange) => completions.complete(exchange, 'chat')),
+    unlessPlainHost((exchange) => completions.complete(exchange, 'chat')),
   );
   app.post(
     '/v1/completions',
-    unlessPlain((exchange) => completions.complete(exchange, 'text')),
+    unlessPlainHost((exchange) => completions.complete(exchange, 'text')),
   );
-  app.get('/v1/models', unlessPlain(completions.listModels));
+  app.get('/v1/models', unlessPlainHost(completions.listModels));
   app.all('*', (context) => handle(context, plain.handle));
   return app;
 }
@@ -171,7 +179,7 @@
   );
 }
 
-function refuseDefect(exchange: CallerExchange): void {
+function respondInternalError(exchange: CallerExchange): void {
   if (exchange.outgoing.headersSent) {
     exchange.outgoing.destroy();
     return;
@@ -181,19 +189,22 @@
   );
 }
 
-/** `event` tells of the sockets that requests come over; a TLS handshake has its own time limit. */
+/**
+ * Marks the sockets above the limit. `event` is the server event that reports the sockets which requests arrive on;
+ * sockets in a TLS handshake are not counted, as the handshake has its own time limit.
+ */
 function limitConnections(
   server: Server,
   event: 'connection' | 'secureConnection',
   { maxConnections }: CallersServerOptions,
-  excess: WeakSet<Socket>,
+  excessSockets: WeakSet<Socket>,
 ): void {
   let openCount = 0;
-  server.maxConnections = maxConnections + refusedConnections;
+  server.maxConnections = maxConnections + maxRefusedConnections;
   server.on(event, (socket: Socket) => {
     openCount += 1;
     if (openCount > maxConnections) {
-      excess.add(socket);
+      excessSockets.add(socket);
     }
     socket.once('close', () => {
       openCount -= 1;
--- a/packages/entry/src/callersSide.ts
+++ b/packages/entry/src/callersSide.ts
@@ -1,4 +1,4 @@
-/** The callers' side as a whole: server, completions and plain traffic, and how it ends. */
+/** The API for callers: HTTP server, completions, plain traffic and shutdown. */
 import { startCallersServer } from './callersServer';
 import type { CallersTls } from './callersTls';
 import { createCompletionsApi } from './completionsApi';
@@ -12,9 +12,9 @@
   context: RequestContext;
   services: ServiceTable;
   host: string;
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   port: number;
-  /** Absent: plain HTTP. */
+  /** Certificate and key; plain HTTP if omitted. */
   tls?: CallersTls;
   maxHeaderBytes: number;
   maxBodyBytes: number;
@@ -26,15 +26,15 @@
   /** `http://ip:port`, or `https` with TLS. */
   address: string;
   activeCount(): number;
-  /** Refuses new requests, and finishes running ones within the bound; true where all ended. */
-  drain(boundMs: number): Promise<boolean>;
-  /** Ends everything at once. */
+  /** Refuses new requests and lets running ones finish; false if some were still running after `timeoutMs`. */
+  drain(timeoutMs: number): Promise<boolean>;
+  /** Ends all requests and closes the server at once. */
   close(): Promise<void>;
 }
 
-const forcedEndMs = 1_000;
+const forcedStopTimeoutMs = 1_000;
 
-/** Starts to serve callers. */
+/** Starts the server; rejects if the port is in use. */
 export async function createCallersSide(options: CallersSideOptions): Promise<CallersSide> {
   const { context, services, slowSenderTimeoutMs, maxBodyBytes, maxConnections } = options;
   const runs = createModelRuns(context);
@@ -45,14 +45,14 @@
     tls: options.tls,
     completions: createCompletionsApi({ services, runs, maxBodyBytes, slowSenderTimeoutMs }),
     plain,
-    hasHost: services.hasHost,
+    hasPlainHost: services.hasPlainHost,
     logger: context.logger,
     maxHeaderBytes: options.maxHeaderBytes,
     maxConnections,
     headersTimeoutMs: slowSenderTimeoutMs,
   });
 
-  const settled = () => Promise.all([server.idle(), runs.settled()]);
+  const settled = () => Promise.all([server.whenIdle(), runs.settled()]);
 
   function stopAll(): void {
     runs.stopAll(stopReasons.shutdown);
@@ -62,26 +62,26 @@
   return {
     address: server.address,
     activeCount: server.activeCount,
-    async drain(boundMs) {
+    async drain(timeoutMs) {
       server.stopAccepting();
-      const ended = await within(settled(), boundMs);
+      const ended = await settlesWithin(settled(), timeoutMs);
       if (!ended) {
-        // Callers whose time is over still get an explicit end of their answer.
+        // Responses that did not finish in time still end with an explicit error.
         stopAll();
-        await within(settled(), forcedEndMs);
+        await settlesWithin(settled(), forcedStopTimeoutMs);
       }
       return ended;
     },
     async close() {
       stopAll();
-      await within(runs.settled(), forcedEndMs);
+      await settlesWithin(runs.settled(), forcedStopTimeoutMs);
       await server.close();
     },
   };
 }
 
-/** Whether the promise settled within the time. */
-async function within(promise: Promise<unknown>, timeoutMs: number): Promise<boolean> {
+/** Resolves with whether the promise was fulfilled within `timeoutMs`. */
+async function settlesWithin(promise: Promise<unknown>, timeoutMs: number): Promise<boolean> {
   let timer: NodeJS.Timeout | undefined;
   const timeout = new Promise<boolean>((resolve) => {
     timer = setTimeout(() => resolve(false), timeoutMs);
--- a/packages/entry/src/callersTls.ts
+++ b/packages/entry/src/callersTls.ts
@@ -1,10 +1,10 @@
-/** TLS of the callers' side: the certificate and key that the settings name, read once at the start. */
+/** TLS for callers: certificate and key from the files in the settings, read once at start-up. */
 import { readFileSync } from 'node:fs';
 import { createSecureContext } from 'node:tls';
 import { err, ok, Result } from 'neverthrow';
 import { environmentName, flagName, type Finding } from '@bluebellhitch/shared';
 
-/** PEM texts; the certificate with its chain. */
+/** PEM texts; `cert` includes the certificate chain. */
 export interface CallersTls {
   cert: string;
   key: string;
@@ -15,7 +15,7 @@
   callersTlsKeyFile?: string;
 }
 
-/** `undefined` where callers come without TLS. */
+/** Reads both files; `undefined` if the settings name neither. */
 export function readCallersTls(
   settings: CallersTlsSettings,
 ): Result<CallersTls | undefined, Finding[]> {
@@ -32,23 +32,23 @@
 
 function readPem(setting: string, path: string | undefined): Result<string, Finding> {
   if (path === undefined) {
-    return err(findingOf(setting, 'is required beside the other file'));
+    return err(createFinding(setting, 'is required beside the other file'));
   }
   const read = Result.fromThrowable(
     () => readFileSync(path, 'utf8'),
-    (error) => findingOf(setting, `cannot be read: ${(error as Error).message}`),
+    (error) => createFinding(setting, `cannot be read: ${(error as Error).message}`),
   );
   return read();
 }
 
-/** A key that does not belong to the certificate would fail each handshake. */
+/** Checks that key and certificate match; otherwise every TLS handshake would fail. */
 function checkPair(tls: CallersTls): Result<CallersTls, Finding[]> {
   const check = Result.fromThrowable(createSecureContext, (error) => [
-    findingOf('callersTlsCertFile', `does not work with the key: ${(error as Error).message}`),
+    createFinding('callersTlsCertFile', `does not work with the key: ${(error as Error).message}`),
   ]);
   return check(tls).map(() => tls);
 }
 
-function findingOf(setting: string, message: string): Finding {
+function createFinding(setting: string, message: string): Finding {
   return { path: `${flagName(setting)} (${environmentName(setting)})`, message };
 }
--- a/packages/entry/src/cancellations.ts
+++ b/packages/entry/src/cancellations.ts
@@ -1,6 +1,6 @@
 /**
- * Cancels attempts at their agents. A cancel that fails is repeated: the heartbeat of other work would
- * otherwise keep the lease of a cancelled attempt alive at that agent.
+ * Cancels attempts at their agents. A failed cancel is retried, because the heartbeats sent for other work would
+ * otherwise keep the lease of the cancelled attempt alive at that agent.
  */
 import { delay } from '@bluebellhitch/shared';
 import type { AgentApi } from './agentApi';
@@ -9,38 +9,37 @@
   agents: Pick<AgentApi, 'cancel'>;
   entryId: string;
   timeoutMs?: number;
-  /** First pause between tries; doubles up to `maxPauseMs`. */
+  /** Delay before the first retry; doubles up to `maxRetryDelayMs`. */
   pauseMs?: number;
-  maxPauseMs?: number;
+  maxRetryDelayMs?: number;
   maxTries?: number;
 }
 
 export interface Cancellations {
-  /** Tells the agent that the attempt is over, in the background; idempotent at the agent. */
+  /** Cancels the attempt at its agent in the background; idempotent at the agent. */
   cancel(address: string, attemptId: string): void;
-  /** Cancels that the agents have not confirmed yet. */
+  /** Number of cancels that the agents have not confirmed yet. */
   pendingCount(): number;
-  /** Resolves when nothing is pending. */
+  /** Resolves once no cancel is pending. */
   settled(): Promise<void>;
 }
 
-/** Creates the cancellations of one entry. */
 export function createCancellations(options: CancellationsOptions): Cancellations {
   const { agents, entryId } = options;
-  const { timeoutMs = 500, pauseMs = 50, maxPauseMs = 500, maxTries = 12 } = options;
+  const { timeoutMs = 500, pauseMs = 50, maxRetryDelayMs = 500, maxTries = 12 } = options;
   const pending = new Set<Promise<void>>();
 
   async function cancelUntilConfirmed(address: string, attemptId: string): Promise<void> {
-    let nextPauseMs = pauseMs;
+    let nextDelayMs = pauseMs;
     for (let attempt = 0; attempt < maxTries; attempt += 1) {
       const result = await agents.cancel(address, { entryId, attemptId }, { timeoutMs });
       if (result.isOk()) {
         return;
       }
-      await delay(nextPauseMs);
-      nextPauseMs = Math.min(nextPauseMs * 2, maxPauseMs);
+      await delay(nextDelayMs);
+      nextDelayMs = Math.min(nextDelayMs * 2, maxRetryDelayMs);
     }
-    // The agent has been silent for longer than its leases last, so they have ended there.
+    // The agent has been unresponsive for longer than the duration of its leases, so they have expired.
   }
 
   return {
--- a/packages/entry/src/clientErrors.ts
+++ b/packages/entry/src/clientErrors.ts
@@ -1,16 +1,16 @@
-/** Answers requests that Node's parser gave up on: bad or oversized headers, and slow senders. */
+/** Responds to requests that Node's HTTP parser rejects: invalid or oversized headers, and slow senders. */
 import type { Duplex } from 'node:stream';
 import { randomUUID } from 'node:crypto';
 import { createRefusal, refusalReasons } from '@bluebellhitch/shared';
 import { problemContentType, problemDocument } from './problem';
 
-interface ClientFault {
+interface ErrorResponse {
   status: number;
   statusText: string;
   detail: string;
 }
 
-const faults: Record<string, ClientFault> = {
+const errorResponses: Record<string, ErrorResponse> = {
   HPE_HEADER_OVERFLOW: {
     status: 431,
     statusText: 'Request Header Fields Too Large',
@@ -22,21 +22,21 @@
     detail: 'the header did not arrive in time',
   },
 };
-const malformed: ClientFault = {
+const malformedRequest: ErrorResponse = {
   status: 400,
   statusText: 'Bad Request',
   detail: 'the request is not valid HTTP',
 };
 
 /** Handler of the server's `clientError` event. */
-export function answerClientError(error: NodeJS.ErrnoException, socket: Duplex): void {
-  // Bytes of an error written into a response that has begun would look like a part of that answer.
+export function respondToClientError(error: NodeJS.ErrnoException, socket: Duplex): void {
+  // An error written after a response has begun would look like a part of that response.
   const response = Reflect.get(socket, '_httpMessage') as { headersSent?: boolean } | undefined;
   if (error.code === 'ECONNRESET' || !socket.writable || response?.headersSent) {
     socket.destroy();
     return;
   }
-  const { status, statusText, detail } = faults[error.code ?? ''] ?? malformed;
+  const { status, statusText, detail } = errorResponses[error.code ?? ''] ?? malformedRequest;
   const refusal = createRefusal({ reason: refusalReasons.badRequest, detail });
   const body = JSON.stringify(problemDocument(refusal, { requestId: randomUUID(), status }));
   const head = [
--- a/packages/entry/src/completionsApi.ts
+++ b/packages/entry/src/completionsApi.ts
@@ -1,4 +1,4 @@
-/** `POST /v1/chat/completions`, `POST /v1/completions` and `GET /v1/models`. */
+/** Handlers of `POST /v1/chat/completions`, `POST /v1/completions` and `GET /v1/models`. */
 import { effectiveClass, type ServiceDocument } from '@bluebellhitch/document';
 import { callerHeaders, estimateTokens, prefixBlockHashes } from '@bluebellhitch/protocol';
 import { assertNever, createRefusal, monotonicNowMs, refusalReasons } from '@bluebellhitch/shared';
@@ -10,7 +10,7 @@
   finishChunk,
   textChunk,
   usageChunk,
-  wholeCompletion,
+  completionObject,
   type CompletionIdentity,
 } from './completionsFormat';
 import { claimKeyOf, fingerprintOf } from './digests';
@@ -24,7 +24,7 @@
 export interface CompletionsApiOptions {
   services: ServiceTable;
   runs: ModelRuns;
-  /** Bound before the service is known; the document's own one holds besides. */
+  /** Limit that applies before the service is known; the service's own limit applies in addition. */
   maxBodyBytes: number;
   slowSenderTimeoutMs: number;
 }
@@ -43,7 +43,6 @@
 const paths = { chat: '/v1/chat/completions', text: '/v1/completions' } as const;
 const msPerSecond = 1000;
 
-/** Creates the handlers. */
 export function createCompletionsApi(options: CompletionsApiOptions): CompletionsApi {
   const { services, runs, maxBodyBytes, slowSenderTimeoutMs } = options;
 
@@ -62,7 +61,7 @@
     }
     const admitted = admit(exchange, kind, read.value, arrivedAtMs);
     if (admitted !== undefined) {
-      await answer(exchange, admitted);
+      await respond(exchange, admitted);
     }
   }
 
@@ -88,13 +87,16 @@
       refuseBody(exchange, { kind: 'too-large', maxBytes: serviceMaxBytes });
       return undefined;
     }
-    return admitKeyed(exchange, { body: body.value, target, bytes, arrivedAtMs });
+    return admitParsedRequest(exchange, { body: body.value, target, bytes, arrivedAtMs });
   }
 
-  /** Work that may not be repeated needs a key that its caller chose. */
-  function admitKeyed(exchange: CallerExchange, parts: RequestParts): AdmittedRequest | undefined {
+  /** Refuses requests that must not be repeated and carry no idempotency key. */
+  function admitParsedRequest(
+    exchange: CallerExchange,
+    parsed: ParsedRequest,
+  ): AdmittedRequest | undefined {
     const { headers } = exchange.incoming;
-    const repeatable = isRepeatable(exchange, parts);
+    const repeatable = isRepeatable(exchange, parsed);
     const key = headerText(headers, callerHeaders.idempotencyKey);
     if (!repeatable && key === undefined) {
       exchange.refuse(
@@ -105,17 +107,17 @@
       );
       return undefined;
     }
-    const request = buildRequest(exchange, parts, repeatable, key);
+    const request = buildRequest(exchange, parsed, repeatable, key);
     const shareKey =
       repeatable && key !== undefined ? `${request.claimKey}/${request.fingerprint}` : undefined;
-    return { request, body: parts.body, shareKey };
+    return { request, body: parsed.body, shareKey };
   }
 
-  async function answer(exchange: CallerExchange, admitted: AdmittedRequest): Promise<void> {
+  async function respond(exchange: CallerExchange, admitted: AdmittedRequest): Promise<void> {
     const { request, body, shareKey } = admitted;
     const membership = runs.start(request, shareKey);
-    const leave = () => membership.leave();
-    exchange.gone.addEventListener('abort', leave);
+    const leaveRun = () => membership.leave();
+    exchange.gone.addEventListener('abort', leaveRun);
     const identity: CompletionIdentity = {
       kind: body.kind,
       requestId: exchange.requestId,
@@ -125,8 +127,8 @@
     const { promptTokens } = request;
     await (body.stream
       ? sendStream(exchange, membership.log, { identity, promptTokens, body })
-      : sendWhole(exchange, membership.log, { identity, promptTokens, body }));
-    leave();
+      : sendCompletion(exchange, membership.log, { identity, promptTokens, body }));
+    leaveRun();
   }
 
   function listModels(exchange: CallerExchange): void {
@@ -150,16 +152,16 @@
   return { complete, listModels };
 }
 
-interface RequestParts {
+interface ParsedRequest {
   body: CompletionBody;
   target: ModelTarget;
   bytes: Buffer;
   arrivedAtMs: number;
 }
 
-function isRepeatable(exchange: CallerExchange, { body, target }: RequestParts): boolean {
-  const marked = headerText(exchange.incoming.headers, callerHeaders.noRepeat) === 'true';
-  return !marked && routeAllowsRepeating(target.document, paths[body.kind]);
+function isRepeatable(exchange: CallerExchange, { body, target }: ParsedRequest): boolean {
+  const isMarkedNoRepeat = headerText(exchange.incoming.headers, callerHeaders.noRepeat) === 'true';
+  return !isMarkedNoRepeat && routeAllowsRepeating(target.document, paths[body.kind]);
 }
 
 function routeAllowsRepeating(document: ServiceDocument, path: string): boolean {
@@ -170,7 +172,7 @@
 
 function buildRequest(
   exchange: CallerExchange,
-  { body, target, bytes, arrivedAtMs }: RequestParts,
+  { body, target, bytes, arrivedAtMs }: ParsedRequest,
   repeatable: boolean,
   key: string | undefined,
 ): ModelRequest {
@@ -198,17 +200,20 @@
   };
 }
 
-interface AnswerFormat {
+interface ResponseFormat {
   identity: CompletionIdentity;
   promptTokens: number;
   body: CompletionBody;
 }
 
-/** Sends events as they come. The head waits for the first one: a refusal is a problem document. */
+/**
+ * Sends events as they arrive. The response head is sent with the first event, so that a refusal before it can still
+ * be a problem document.
+ */
 async function sendStream(
   exchange: CallerExchange,
   log: AnswerLog,
-  format: AnswerFormat,
+  format: ResponseFormat,
 ): Promise<void> {
   let writer: SseWriter | undefined;
   for await (const event of log.read(exchange.gone)) {
@@ -225,7 +230,7 @@
 async function sendEvent(
   writer: SseWriter,
   event: AnswerEvent,
-  format: AnswerFormat & { isFirst: boolean; requestId: string },
+  format: ResponseFormat & { isFirst: boolean; requestId: string },
 ): Promise<void> {
   const { identity, promptTokens, body } = format;
   switch (event.kind) {
@@ -240,7 +245,7 @@
       writer.done();
       return;
     case 'refused':
-      // Without the end marker and with an error: the caller cannot take a part for the whole.
+      // The error event and the missing end marker keep the caller from taking a partial response for a complete one.
       await writer.event('error', errorEvent(event.refusal, format.requestId));
       writer.end();
       return;
@@ -249,16 +254,16 @@
   }
 }
 
-async function sendWhole(
+async function sendCompletion(
   exchange: CallerExchange,
   log: AnswerLog,
-  { identity, promptTokens }: AnswerFormat,
+  { identity, promptTokens }: ResponseFormat,
 ): Promise<void> {
-  const parts: string[] = [];
+  const texts: string[] = [];
   for await (const event of log.read(exchange.gone)) {
     switch (event.kind) {
       case 'tokens':
-        parts.push(event.text);
+        texts.push(event.text);
         break;
       case 'refused':
         exchange.refuse(event.refusal);
@@ -266,8 +271,8 @@
       case 'end':
         sendJson(
           exchange,
-          wholeCompletion(identity, {
-            text: parts.join(''),
+          completionObject(identity, {
+            text: texts.join(''),
             finishReason: event.finishReason,
             usage: { promptTokens, outputTokens: event.outputTokens },
           }),
--- a/packages/entry/src/completionsBody.ts
+++ b/packages/entry/src/completionsBody.ts
@@ -1,4 +1,4 @@
-/** Bodies of `POST /v1/chat/completions` and `POST /v1/completions`, checked by schema. */
+/** Parses the bodies of `POST /v1/chat/completions` and `POST /v1/completions`. */
 import { err, ok, type Result } from 'neverthrow';
 import * as z from 'zod';
 
@@ -28,10 +28,10 @@
   prompt: z.union([z.string().min(1), z.array(z.string().min(1)).length(1)]),
 });
 
-/** Which of the two interfaces a caller used. */
+/** Endpoint that the caller used: `/v1/chat/completions` or `/v1/completions`. */
 export type CompletionKind = 'chat' | 'text';
 
-/** What both interfaces come down to. */
+/** Common form of the bodies of both endpoints. */
 export interface CompletionBody {
   kind: CompletionKind;
   /** The caller's `model`: a service, or `<service>/<model or adapter>`. */
@@ -42,7 +42,7 @@
   includeUsage: boolean;
 }
 
-/** Reads the JSON text of a body; the error is a sentence for the caller. */
+/** Parses the JSON text of a body; the error is a message for the caller. */
 export function parseCompletionBody(
   kind: CompletionKind,
   text: string,
@@ -102,7 +102,7 @@
     .join('; ');
 }
 
-/** One text for the engine; engines apply their own template only to single prompts. */
+/** Joins the messages into one prompt, because engines apply their own template only to single prompts. */
 function renderMessages(messages: readonly z.infer<typeof messageSchema>[]): string {
   const turns = messages.map(({ role, content }) => `${role}: ${contentText(content)}\n`);
   return `${turns.join('')}assistant:`;
--- a/packages/entry/src/completionsFormat.ts
+++ b/packages/entry/src/completionsFormat.ts
@@ -1,9 +1,9 @@
-/** Answers in the OpenAI format, streamed and whole. */
+/** Completions in the OpenAI format: chunks of a stream, and complete objects. */
 import type { FinishReason } from '@bluebellhitch/protocol';
 import type { Refusal } from '@bluebellhitch/shared';
 import type { CompletionKind } from './completionsBody';
 
-/** What all parts of one answer share. */
+/** Fields that all chunks of one completion share. */
 export interface CompletionIdentity {
   kind: CompletionKind;
   requestId: string;
@@ -18,29 +18,29 @@
 }
 
 const objectNames = {
-  chat: { whole: 'chat.completion', chunk: 'chat.completion.chunk', idPrefix: 'chatcmpl' },
-  text: { whole: 'text_completion', chunk: 'text_completion', idPrefix: 'cmpl' },
+  chat: { completion: 'chat.completion', chunk: 'chat.completion.chunk', idPrefix: 'chatcmpl' },
+  text: { completion: 'text_completion', chunk: 'text_completion', idPrefix: 'cmpl' },
 } as const;
 
-/** A chunk that carries text. */
+/** A chunk with text. */
 export function textChunk(identity: CompletionIdentity, text: string, isFirst: boolean): object {
   const delta = isFirst ? { role: 'assistant', content: text } : { content: text };
   const choice = identity.kind === 'chat' ? { delta } : { text };
   return chunk(identity, [{ index: 0, ...choice, finish_reason: null }]);
 }
 
-/** The last chunk of a whole answer. */
+/** The last chunk of a complete response. */
 export function finishChunk(identity: CompletionIdentity, finishReason: FinishReason): object {
   const choice = identity.kind === 'chat' ? { delta: {} } : { text: '' };
   return chunk(identity, [{ index: 0, ...choice, finish_reason: finishReason }]);
 }
 
-/** Follows the last chunk where the caller asked for usage. */
+/** The chunk with the token usage, sent after the last chunk if the caller asked for it. */
 export function usageChunk(identity: CompletionIdentity, usage: CompletionUsage): object {
-  return { ...chunk(identity, []), usage: usageBlock(usage) };
+  return { ...chunk(identity, []), usage: usageFields(usage) };
 }
 
-/** The error event that ends an answer which cannot be completed. */
+/** Data of the error event that ends a response which cannot be completed. */
 export function errorEvent(refusal: Refusal, requestId: string): object {
   return {
     error: {
@@ -53,27 +53,27 @@
   };
 }
 
-/** The body of an answer that is not streamed. */
-export function wholeCompletion(
+/** The body of a response that is not streamed. */
+export function completionObject(
   identity: CompletionIdentity,
-  answer: { text: string; finishReason: FinishReason; usage: CompletionUsage },
+  result: { text: string; finishReason: FinishReason; usage: CompletionUsage },
 ): object {
   const content =
     identity.kind === 'chat'
-      ? { message: { role: 'assistant', content: answer.text } }
-      : { text: answer.text };
+      ? { message: { role: 'assistant', content: result.text } }
+      : { text: result.text };
   return {
-    ...head(identity, objectNames[identity.kind].whole),
-    choices: [{ index: 0, ...content, finish_reason: answer.finishReason }],
-    usage: usageBlock(answer.usage),
+    ...commonFields(identity, objectNames[identity.kind].completion),
+    choices: [{ index: 0, ...content, finish_reason: result.finishReason }],
+    usage: usageFields(result.usage),
   };
 }
 
 function chunk(identity: CompletionIdentity, choices: object[]): object {
-  return { ...head(identity, objectNames[identity.kind].chunk), choices };
+  return { ...commonFields(identity, objectNames[identity.kind].chunk), choices };
 }
 
-function head(identity: CompletionIdentity, object: string): object {
+function commonFields(identity: CompletionIdentity, object: string): object {
   return {
     id: `${objectNames[identity.kind].idPrefix}-${identity.requestId}`,
     object,
@@ -82,7 +82,7 @@
   };
 }
 
-function usageBlock({ promptTokens, outputTokens }: CompletionUsage): object {
+function usageFields({ promptTokens, outputTokens }: CompletionUsage): object {
   return {
     prompt_tokens: promptTokens,
     completion_tokens: outputTokens,
--- a/packages/entry/src/configurationFeed.ts
+++ b/packages/entry/src/configurationFeed.ts
@@ -1,10 +1,10 @@
-/** Accepted documents and quarantine records as an entry takes and serves them. */
+/** Feed of accepted documents and quarantine records, which an entry receives and serves. */
 import type { FeedRecord, FeedReply, FeedRequest } from '@bluebellhitch/protocol';
 
 export interface ConfigurationFeed {
-  /** Reports each record that is newer than what was known of its key. */
+  /** Starts the feed; calls `onRecord` for each record that is newer than the known one of its key. */
   start(onRecord: (record: FeedRecord) => void): void;
-  /** Answers agents and other entries that follow this one. */
+  /** Serves the feed to agents and other entries that follow this one. */
   serve(request: FeedRequest, signal?: AbortSignal): Promise<FeedReply>;
   stop(): Promise<void>;
 }
--- a/packages/entry/src/digests.ts
+++ b/packages/entry/src/digests.ts
@@ -1,4 +1,4 @@
-/** Digests of requests: fingerprints for quarantine, and keys of claims and shared runs. */
+/** Digests of requests: fingerprints for quarantine, and keys for claims and shared runs. */
 import { createHash } from 'node:crypto';
 
 const digestLength = 32;
@@ -9,12 +9,12 @@
   return hash.digest('hex').slice(0, digestLength);
 }
 
-/** Names a request by its institution and content, so that a repeated one is recognised. */
+/** Fingerprint of a request's institution and content, by which repeated requests are recognised. */
 export function fingerprintOf(institution: string, ...content: (string | Buffer)[]): string {
   return digest([institution, ...content]);
 }
 
-/** Key of a claim: one for each service, institution and idempotency key. */
+/** Key of a claim, unique for each service, institution and idempotency key. */
 export function claimKeyOf(service: string, institution: string, idempotencyKey: string): string {
   return `${service}/${digest([institution, idempotencyKey])}`;
 }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,4 +1,4 @@
-/** An entry: its ports, its view of configuration, and its graceful stop. */
+/** An entry: its servers, its configuration and its graceful shutdown. */
 import { randomUUID } from 'node:crypto';
 import type { InstanceDirectory } from '@bluebellhitch/membership';
 import type { PlatformApi, ClaimStore } from '@bluebellhitch/objects';
@@ -37,27 +37,27 @@
   >;
   feed: ConfigurationFeed;
   security: InnerSecurity;
-  /** Absent: callers come without TLS. */
+  /** Certificate and key for callers; plain HTTP if omitted. */
   callersTls?: CallersTls;
   logger: Logger;
   random?: Random;
 }
 
 export interface Entry {
-  /** `http://ip:port` of each side. */
+  /** Addresses of the three servers, `http://ip:port`; `https` for callers with TLS. */
   callersAddress: string;
   innerAddress: string;
   adminAddress: string;
   services: ServiceTable;
-  /** Graceful: callers are finished within the bound. Forced: leases are given up at once. */
+  /** Graceful: running requests get `drainBoundMs` to finish. Forced: requests end and release their leases at once. */
   stop(kind: StopKind): Promise<void>;
 }
 
 const sweepIntervalMs = 60_000;
-/** Cancels that are still on their way when the entry stops; later the agents' leases lapse. */
-const lastCancelsMs = 1_000;
+/** Time that pending cancellations get at shutdown; leases that are not cancelled by then expire at the agents. */
+const finalCancelsTimeoutMs = 1_000;
 
-/** Starts all ports; rejects where one is taken. */
+/** Starts all servers; rejects if a port is in use. */
 export async function startEntry(options: EntryOptions): Promise<Entry> {
   const { settings, feed, logger, directory, security } = options;
   const metrics = createEntryMetrics();
@@ -114,18 +114,18 @@
       '/debug/config': () => describeConfig(settings, services),
     },
   });
-  const sweeper = setInterval(strikes.sweep, sweepIntervalMs);
+  const sweepTimer = setInterval(strikes.sweep, sweepIntervalMs);
 
-  async function finishCallers(): Promise<void> {
+  async function drainCallers(): Promise<void> {
     await delay(settings.settleMs);
     const ended = await callers.drain(settings.drainBoundMs);
-    logger.info('callers finished', { ended, stillActive: callers.activeCount() });
+    logger.info('drain of caller requests finished', { ended, stillActive: callers.activeCount() });
   }
 
-  async function release(): Promise<void> {
-    clearInterval(sweeper);
+  async function closeAll(): Promise<void> {
+    clearInterval(sweepTimer);
     await callers.close();
-    await Promise.race([context.cancellations.settled(), delay(lastCancelsMs)]);
+    await Promise.race([context.cancellations.settled(), delay(finalCancelsTimeoutMs)]);
     context.heartbeats.stop();
     await Promise.all([options.claims.settle(), feed.stop(), inner.close(), admin.close()]);
     await Promise.all([agents.close(), peers.close()]);
@@ -137,17 +137,17 @@
     adminAddress: admin.address,
     services,
     async stop(kind) {
-      // Readiness fails first: the balancer stops sending before requests are refused.
+      // Readiness fails first, so that the load balancer stops sending requests before they are refused.
       stopping = true;
       if (kind === 'graceful') {
-        await finishCallers();
+        await drainCallers();
       }
-      await release();
+      await closeAll();
     },
   };
 }
 
-/** Which generation of each service is in force here. */
+/** The active generation of each service. */
 function describeConfig({ instanceId, dataCentre }: EntrySettings, services: ServiceTable) {
   const generations = services
     .list()
@@ -155,15 +155,15 @@
   return { instanceId, dataCentre, generations: Object.fromEntries(generations) };
 }
 
-type ContextParts = Pick<RequestContext, 'agents' | 'metrics' | 'ring' | 'strikes'>;
+type ContextDependencies = Pick<RequestContext, 'agents' | 'metrics' | 'ring' | 'strikes'>;
 
-function createContext(options: EntryOptions, parts: ContextParts): RequestContext {
+function createContext(options: EntryOptions, deps: ContextDependencies): RequestContext {
   const { settings, directory: instances, claims, logger, random = Math.random } = options;
   const { instanceId: entryId, dataCentre, policy } = settings;
   const entryIncarnation = randomUUID();
   const runtimes = createServiceRuntimes({ entryId, dataCentre, instances, random, policy });
   return {
-    ...parts,
+    ...deps,
     entryId,
     entryIncarnation,
     instances,
@@ -171,14 +171,14 @@
     claims,
     logger,
     random,
-    heartbeats: createHeartbeats({ agents: parts.agents, entryId, entryIncarnation }),
-    cancellations: createCancellations({ agents: parts.agents, entryId }),
+    heartbeats: createHeartbeats({ agents: deps.agents, entryId, entryIncarnation }),
+    cancellations: createCancellations({ agents: deps.agents, entryId }),
     newAttemptId: randomUUID,
     timeouts: defaultRequestTimeouts,
   };
 }
 
-interface RecordTarget {
+interface RecordUpdate {
   record: FeedRecord;
   services: ServiceTable;
   strikes: Strikes;
@@ -186,11 +186,11 @@
   context: RequestContext;
 }
 
-function applyRecord(target: RecordTarget): void {
-  const { record, strikes } = target;
+function applyRecord(update: RecordUpdate): void {
+  const { record, strikes } = update;
   switch (record.kind) {
     case feedKinds.accepted:
-      applyAccepted(target);
+      applyAccepted(update);
       return;
     case feedKinds.quarantine:
       if (!record.removed) {
@@ -202,7 +202,7 @@
   }
 }
 
-function applyAccepted({ record, services, metrics, context }: RecordTarget): void {
+function applyAccepted({ record, services, metrics, context }: RecordUpdate): void {
   if (record.removed) {
     services.remove(record.key, record.generation);
     metrics.removeServiceLabels(record.key);
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -1,4 +1,4 @@
-/** Puts an entry together from its settings: platform, membership, configuration feed and ports. */
+/** Process of an entry: creates the entry and its dependencies from the settings. */
 import { createClaimStore, createHttpPlatformClient } from '@bluebellhitch/objects';
 import {
   createFeedClient,
@@ -32,7 +32,7 @@
   callersTls?: CallersTls;
 }
 
-/** Starts the process; rejects where a port is taken. */
+/** Starts the process; rejects if a port is in use. */
 export async function startEntryProcess(options: EntryProcessOptions): Promise<EntryProcess> {
   const { settings, security, callersTls } = options;
   const { instanceId, platformUrl, logLevel } = settings;
@@ -59,7 +59,7 @@
     adminAddress,
     logger,
     async stop(kind) {
-      // Duties go at once: another entry takes them over while this one finishes its callers.
+      // Duties stop at once, so that another entry takes them over while this one drains its requests.
       await Promise.all([duties.stop(), entry.stop(kind)]);
       await directory.stop();
       await platform.close();
@@ -67,7 +67,7 @@
   };
 }
 
-interface DutyParts {
+interface DutiesDependencies {
   settings: EntrySettings;
   platform: PlatformApi;
   directory: InstanceDirectory;
@@ -76,8 +76,8 @@
   logger: Logger;
 }
 
-function startEntryDuties(parts: DutyParts): Duties {
-  const { settings, platform, directory, entry, security, logger } = parts;
+function startEntryDuties(deps: DutiesDependencies): Duties {
+  const { settings, platform, directory, entry, security, logger } = deps;
   const documents = () => entry.services.list();
   const agents = () => documents().flatMap(({ document }) => directory.agents(document.service));
   const instances = (): PlatformInstance[] => [...directory.entries(), ...agents()];
@@ -91,7 +91,7 @@
   });
 }
 
-interface FeedParts {
+interface FeedDependencies {
   settings: EntrySettings;
   platform: PlatformApi;
   directory: InstanceDirectory;
@@ -105,7 +105,7 @@
   directory,
   security,
   store,
-}: FeedParts): ConfigurationFeed {
+}: FeedDependencies): ConfigurationFeed {
   const { instanceId, dataCentre, peerAddresses } = settings;
   const callFeed = createFeedClient({ credentials: security });
   const server = createFeedServer(store, { directory });
--- a/packages/entry/src/headers.ts
+++ b/packages/entry/src/headers.ts
@@ -1,4 +1,4 @@
-/** Headers on the callers' side: what is forwarded, and what requests say about themselves. */
+/** Headers of callers' requests: which ones are forwarded, and the values that the entry itself reads. */
 import type { IncomingHttpHeaders } from 'node:http';
 import { randomUUID } from 'node:crypto';
 import { callerHeaders, hopByHopHeaders, innerHeaders } from '@bluebellhitch/protocol';
@@ -7,17 +7,17 @@
 
 const innerHeaderNames: readonly string[] = Object.values(innerHeaders);
 const requestIdPattern = /^[\w.:-]{1,100}$/;
-const maxIdempotencyKeyLength = 200;
+const maxValueLength = 200;
 
 /**
- * Drops hop-by-hop headers (RFC 9110, section 7.6.1), those that `Connection` names, and the headers of
- * the inner protocol, which a caller must not be able to set.
+ * Removes hop-by-hop headers (RFC 9110, section 7.6.1), those that `Connection` names, and the headers
+ * of the inner protocol, which a caller must not be able to set.
  */
 export function endToEndHeaders(headers: HeaderValues): Record<string, string | string[]> {
-  const named = String(headers.connection ?? '')
+  const connectionTokens = String(headers.connection ?? '')
     .split(',')
     .map((token) => token.trim().toLowerCase());
-  const dropped = new Set([...hopByHopHeaders, ...innerHeaderNames, ...named]);
+  const dropped = new Set([...hopByHopHeaders, ...innerHeaderNames, ...connectionTokens]);
   return Object.fromEntries(
     Object.entries(headers).filter(
       (header): header is [string, string | string[]] =>
@@ -26,33 +26,33 @@
   );
 }
 
-/** The caller's `x-request-id`, or a new one where it is missing or unusable. */
-export function requestIdOf(headers: IncomingHttpHeaders): string {
-  const given = headerText(headers, callerHeaders.requestId);
-  return given !== undefined && requestIdPattern.test(given) ? given : randomUUID();
+/** The caller's `x-request-id`, or a new id if it is missing or invalid. */
+export function resolveRequestId(headers: IncomingHttpHeaders): string {
+  const received = headerText(headers, callerHeaders.requestId);
+  return received !== undefined && requestIdPattern.test(received) ? received : randomUUID();
 }
 
-/** A header's text; `undefined` where it is absent or empty. */
+/** The trimmed value of a header; `undefined` if it is absent or empty. */
 export function headerText(headers: IncomingHttpHeaders, name: string): string | undefined {
   const value = headers[name];
   const text = Array.isArray(value) ? value.join(', ') : value;
   return text === undefined || text.trim() === '' ? undefined : text.trim();
 }
 
-/** A finding of what is wrong with the headers that callers send. */
-export function findHeaderFault(headers: IncomingHttpHeaders): string | undefined {
+/** Checks the headers that callers set; returns the first error, or `undefined` if they are valid. */
+export function findHeaderError(headers: IncomingHttpHeaders): string | undefined {
   const noRepeat = headerText(headers, callerHeaders.noRepeat);
   if (noRepeat !== undefined && noRepeat !== 'true' && noRepeat !== 'false') {
     return `${callerHeaders.noRepeat} must be true or false`;
   }
   const key = headerText(headers, callerHeaders.idempotencyKey);
-  if (key !== undefined && key.length > maxIdempotencyKeyLength) {
-    return `${callerHeaders.idempotencyKey} is longer than ${maxIdempotencyKeyLength} characters`;
+  if (key !== undefined && key.length > maxValueLength) {
+    return `${callerHeaders.idempotencyKey} is longer than ${maxValueLength} characters`;
   }
   const overlong = [
     callerHeaders.institution,
     callerHeaders.workspace,
     callerHeaders.className,
-  ].find((name) => (headerText(headers, name)?.length ?? 0) > maxIdempotencyKeyLength);
+  ].find((name) => (headerText(headers, name)?.length ?? 0) > maxValueLength);
   return overlong === undefined ? undefined : `${overlong} is too long`;
 }
--- a/packages/entry/src/httpAgentClient.ts
+++ b/packages/entry/src/httpAgentClient.ts
@@ -1,4 +1,4 @@
-/** `AgentApi` over the inner protocol: trpc for messages, HTTP for streams and plain calls. */
+/** `AgentApi` over the inner protocol: tRPC for messages, HTTP for streams and plain calls. */
 import { createTRPCClient, httpLink, splitLink, type TRPCClient } from '@trpc/client';
 import { err, errAsync, ok, ResultAsync, type Result } from 'neverthrow';
 import type { Readable } from 'node:stream';
@@ -36,13 +36,13 @@
 import { plainRefusal } from './plainRefusal';
 
 export interface HttpAgentClientOptions {
-  /** Absent: agents that ask for credentials refuse every call. */
+  /** Without credentials, agents that require them refuse every call. */
   credentials?: InnerCredentials;
   connectTimeoutMs?: number;
-  /** Clients kept for agents; the one used longest ago is dropped. */
+  /** Limit of cached tRPC clients, one for each agent; the least recently used one is evicted. */
   maxClients?: number;
   onMalformedFrame?: () => void;
-  /** Told of the size of heartbeats. */
+  /** Called with the size of each heartbeat message and its reply. */
   onControlBytes?: ControlBytesListener;
 }
 
@@ -51,13 +51,13 @@
 }
 
 type RouterClient = TRPCClient<AgentRouter>;
-type AnswerHeaders = PlainAnswer['headers'];
+type ResponseHeaders = PlainAnswer['headers'];
 
-/** Sent by the clock rather than for one request. */
+/** Procedures that are called periodically rather than on behalf of a request. */
 const controlProcedures: readonly string[] = ['heartbeat'];
 const keepAliveMs = 10_000;
 const maxRefusalBytes = 64 * 1024;
-/** Errors before the request was written, or before anything of it was done. */
+/** Error codes which show that the agent did not receive the request or did not act on it. */
 const notSentCodes: readonly string[] = [
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -67,7 +67,7 @@
   credentialsRefusedCode,
 ];
 
-/** Creates the client of all agents of one entry. */
+/** Creates the client through which an entry calls its agents. */
 export function createHttpAgentClient(options: HttpAgentClientOptions = {}): HttpAgentClient {
   const { connectTimeoutMs = 1_000, maxClients = 256, onMalformedFrame, onControlBytes } = options;
   const dispatcher = new Agent({
@@ -83,7 +83,7 @@
   const transport = { dispatcher, headers };
   const clients = new Map<string, RouterClient>();
 
-  function clientOf(address: string): RouterClient {
+  function getClient(address: string): RouterClient {
     const url = `${address}${innerPaths.trpc}`;
     const client =
       clients.get(address) ??
@@ -109,31 +109,31 @@
     callOptions: AgentCallOptions,
     send: (signal: AbortSignal) => Promise<unknown>,
   ): ResultAsync<z.infer<Schema>, AgentCallError> {
-    const signal = combinedSignal(callOptions);
+    const signal = combineSignals(callOptions);
     return ResultAsync.fromPromise(send(signal), (error) =>
-      callError(error, callOptions.signal),
+      toCallError(error, callOptions.signal),
     ).andThen((reply) => checkReply(schema, reply));
   }
 
   return {
     bid: (address, request, callOptions) =>
-      call(bidSchema, callOptions, (signal) => clientOf(address).bid.mutate(request, { signal })),
+      call(bidSchema, callOptions, (signal) => getClient(address).bid.mutate(request, { signal })),
     reserve: (address, request, callOptions) =>
       call(reserveReplySchema, callOptions, (signal) =>
-        clientOf(address).reserve.mutate(request, { signal }),
+        getClient(address).reserve.mutate(request, { signal }),
       ),
     prefill: (address, request, callOptions) =>
       call(prefillReplySchema, callOptions, (signal) =>
-        clientOf(address).prefill.mutate(request, { signal }),
+        getClient(address).prefill.mutate(request, { signal }),
       ),
     cancel: (address, reference, callOptions) =>
       ResultAsync.fromPromise(
-        clientOf(address).cancel.mutate(reference, { signal: combinedSignal(callOptions) }),
-        (error) => callError(error, callOptions.signal),
+        getClient(address).cancel.mutate(reference, { signal: combineSignals(callOptions) }),
+        (error) => toCallError(error, callOptions.signal),
       ).map(() => undefined),
     heartbeat: (address, heartbeat, callOptions) =>
       call(heartbeatReplySchema, callOptions, (signal) =>
-        clientOf(address).heartbeat.mutate(heartbeat, { signal }),
+        getClient(address).heartbeat.mutate(heartbeat, { signal }),
       ),
     openStream: (address, request, callOptions) =>
       openStream(transport, address, request, callOptions, onMalformedFrame ?? (() => undefined)),
@@ -142,7 +142,7 @@
   };
 }
 
-function combinedSignal(options: AgentCallOptions): AbortSignal {
+function combineSignals(options: AgentCallOptions): AbortSignal {
   const timeout = AbortSignal.timeout(Math.max(1, Math.ceil(options.timeoutMs)));
   return options.signal === undefined ? timeout : AbortSignal.any([options.signal, timeout]);
 }
@@ -157,8 +157,8 @@
     : err({ kind: 'malformed', detail: parsed.error.issues[0]?.message ?? 'unexpected reply' });
 }
 
-/** Classifies by the innermost cause that tells something: trpc and undici wrap errors. */
-function callError(error: unknown, callerSignal?: AbortSignal): AgentCallError {
+/** Classifies an error by its chain of causes, because tRPC and undici wrap the original error. */
+function toCallError(error: unknown, callerSignal?: AbortSignal): AgentCallError {
   const causes = errorChain(error);
   const detail = causes.at(-1)?.message ?? String(error);
   if (causes.some((cause) => notSentCodes.includes(String(Reflect.get(cause, 'code'))))) {
@@ -182,7 +182,7 @@
 
 interface Transport {
   dispatcher: Dispatcher;
-  /** The entry's credentials. */
+  /** Creates the headers with the entry's credentials. */
   headers(): Promise<Record<string, string>>;
 }
 
@@ -193,22 +193,24 @@
   options: AgentCallOptions,
   onMalformed: () => void,
 ): ResultAsync<AsyncIterable<StreamFrame>, StreamOpenError> {
-  const head = new AbortController();
+  const headTimeout = new AbortController();
   const timer = setTimeout(
-    () => head.abort(new DOMException('no head', 'TimeoutError')),
+    () => headTimeout.abort(new DOMException('no head', 'TimeoutError')),
     options.timeoutMs,
   );
   const signal =
-    options.signal === undefined ? head.signal : AbortSignal.any([options.signal, head.signal]);
+    options.signal === undefined
+      ? headTimeout.signal
+      : AbortSignal.any([options.signal, headTimeout.signal]);
   const sending = sendStreamRequest(transport, address, request, signal).finally(() =>
     clearTimeout(timer),
   );
   return ResultAsync.fromPromise<Dispatcher.ResponseData, StreamOpenError>(sending, (error) =>
-    callError(error, options.signal),
+    toCallError(error, options.signal),
   ).andThen((response) =>
     response.statusCode === 200
       ? ok(readFrames(response.body, onMalformed) as AsyncIterable<StreamFrame>)
-      : streamRefusal(response),
+      : readStreamRefusal(response),
   );
 }
 
@@ -231,11 +233,11 @@
   });
 }
 
-/** Reads the refusal in the body of an answer that is not a stream. */
-function streamRefusal(
+/** Reads the refusal from the body of a response that is not an event stream. */
+function readStreamRefusal(
   response: Dispatcher.ResponseData,
 ): ResultAsync<AsyncIterable<StreamFrame>, StreamOpenError> {
-  const reading = readBounded(response.body, maxRefusalBytes).then(
+  const reading = readLimitedText(response.body, maxRefusalBytes).then(
     (text) => JSON.parse(text) as unknown,
   );
   return ResultAsync.fromPromise<unknown, StreamOpenError>(reading, () => ({
@@ -251,13 +253,13 @@
   });
 }
 
-async function readBounded(body: AsyncIterable<Buffer>, maxBytes: number): Promise<string> {
+async function readLimitedText(body: AsyncIterable<Buffer>, maxBytes: number): Promise<string> {
   const chunks: Buffer[] = [];
   let size = 0;
   for await (const chunk of body) {
     size += chunk.length;
     if (size > maxBytes) {
-      throw new Error('body too large');
+      throw new Error('refusal body exceeds the size limit');
     }
     chunks.push(chunk);
   }
@@ -270,7 +272,7 @@
   call: PlainCall,
 ): ResultAsync<PlainAnswer, AgentCallError> {
   const sending = sendPlainRequest(transport, address, call);
-  return ResultAsync.fromPromise(sending, (error) => plainCallError(error, call)).map(
+  return ResultAsync.fromPromise(sending, (error) => toPlainCallError(error, call)).map(
     ({ statusCode, headers, body }) => {
       ignoreLateErrors(body);
       return {
@@ -293,7 +295,7 @@
   return sendRequest(`${address}${innerPaths.plain}${call.target}`, {
     dispatcher,
     method: call.method,
-    // `Authorization` is the caller's and goes on to the backend server.
+    // `Authorization` carries the caller's credentials and is forwarded to the backend server.
     headers:
       authorization === undefined
         ? call.headers
@@ -305,21 +307,21 @@
 }
 
 /**
- * undici reports a body that is destroyed before its end as an error. Nobody reads such a body any
- * more, and the error without a listener would end the process.
+ * undici emits `error` on a body that is destroyed before its end. Nothing reads such a body any more,
+ * and an `error` event without a listener would terminate the process.
  */
 function ignoreLateErrors(body: Readable): void {
   body.on('error', () => undefined);
 }
 
-function plainCallError(error: unknown, call: PlainCall): AgentCallError {
+function toPlainCallError(error: unknown, call: PlainCall): AgentCallError {
   const isHeadTimeout = Reflect.get(Object(error), 'code') === 'UND_ERR_HEADERS_TIMEOUT';
   return isHeadTimeout
     ? { kind: 'timeout', detail: 'no response in time' }
-    : callError(error, call.signal);
+    : toCallError(error, call.signal);
 }
 
-function parseLoad(headers: AnswerHeaders): LoadHint | undefined {
+function parseLoad(headers: ResponseHeaders): LoadHint | undefined {
   const text = headers[innerHeaders.load];
   if (typeof text !== 'string') {
     return undefined;
--- a/packages/entry/src/innerServer.ts
+++ b/packages/entry/src/innerServer.ts
@@ -1,4 +1,4 @@
-/** The entry's inner port: feed and strikes for agents and other entries. */
+/** Server of the inner protocol: feed for agents and other entries, strikes from other entries. */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { createAdaptorServer } from '@hono/node-server';
@@ -15,11 +15,11 @@
 
 export interface InnerServerOptions {
   host: string;
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   port: number;
   handlers: EntryHandlers;
   security: Pick<InnerSecurity, 'accepts' | 'seal'>;
-  /** Told of each call without valid credentials. */
+  /** Called for each call without valid credentials. */
   onUnauthenticated?: () => void;
 }
 
@@ -31,7 +31,7 @@
 
 const feedPath = `${innerPaths.trpc}/feed`;
 
-/** Starts the server; rejects where the port is taken. */
+/** Starts the server; rejects if the port is in use. */
 export async function startInnerServer(options: InnerServerOptions): Promise<InnerServer> {
   const router = createEntryRouter(options.handlers);
   const app = new Hono();
@@ -57,7 +57,7 @@
   };
 }
 
-/** Whoever may follow the feed may not report strikes by the same token. */
+/** The feed has an audience of its own, so that a token for the feed does not allow reporting strikes. */
 function audienceOf(path: string): InnerAudience {
   return path === feedPath ? innerAudiences.feed : innerAudiences.entry;
 }
--- a/packages/entry/src/messageFetch.ts
+++ b/packages/entry/src/messageFetch.ts
@@ -1,14 +1,14 @@
-/** The transport of trpc messages: undici's plain request, which costs less than its full `fetch`. */
+/** Transport of tRPC messages over undici's `request`, which has less overhead than its `fetch`. */
 import { request as sendRequest, type Dispatcher } from 'undici';
 
-/** Code of the error where the other process refused the credentials: nothing ran there. */
+/** Error code for refused credentials, in which case the other process did not act on the call. */
 export const credentialsRefusedCode = 'ERR_CREDENTIALS_REFUSED';
 
 const unauthorizedStatus = 401;
 
 export type ControlBytesListener = (direction: 'sent' | 'received', byteCount: number) => void;
 
-/** A `fetch` for trpc links. */
+/** Creates a `fetch` for tRPC links; `onControlBytes` receives the size of each message and reply. */
 export function createMessageFetch(dispatcher: Dispatcher, onControlBytes?: ControlBytesListener) {
   return async (input: unknown, init?: unknown) => {
     const { method, headers, body, signal } = (init ?? {}) as RequestInit;
--- a/packages/entry/src/plainApi.ts
+++ b/packages/entry/src/plainApi.ts
@@ -1,4 +1,4 @@
-/** Intake of plain traffic: matches a document's route, takes the body and starts the request. */
+/** Handler of plain traffic: matches a route, reads or streams the request body and runs the request. */
 import { effectiveClass } from '@bluebellhitch/document';
 import { callerHeaders } from '@bluebellhitch/protocol';
 import { assertNever, createRefusal, monotonicNowMs, refusalReasons } from '@bluebellhitch/shared';
@@ -10,16 +10,16 @@
 import { createPlainRun, runPlainRequest } from './plainRequest';
 import type { PlainBody, PlainRequest } from './plainTypes';
 import { createReplayBody, hasBody } from './replayBody';
-import { announcedLength, readBody } from './requestBody';
+import { declaredLength, readBody } from './requestBody';
 import type { RequestContext } from './requestContext';
 import type { PlainTarget, ServiceTable } from './serviceTable';
 
 export interface PlainApiOptions {
   context: RequestContext;
   services: ServiceTable;
-  /** Bytes of a body that are kept for another attempt. */
+  /** Bytes of a request body that are buffered for another attempt. */
   maxReplayBytes?: number;
-  /** Longest pause of a caller that sends a body. */
+  /** Longest pause while a caller sends a body. */
   slowSenderTimeoutMs: number;
 }
 
@@ -29,12 +29,16 @@
   stopAll(reason: StopReason): void;
 }
 
-const defaultReplayBytes = 64 * 1024;
+const defaultMaxReplayBytes = 64 * 1024;
 const methodNotAllowedStatus = 405;
 
-/** Creates the handler of plain traffic. */
 export function createPlainApi(options: PlainApiOptions): PlainApi {
-  const { context, services, slowSenderTimeoutMs, maxReplayBytes = defaultReplayBytes } = options;
+  const {
+    context,
+    services,
+    slowSenderTimeoutMs,
+    maxReplayBytes = defaultMaxReplayBytes,
+  } = options;
   const active = new Set<AbortController>();
 
   async function handle(exchange: CallerExchange): Promise<void> {
@@ -42,7 +46,7 @@
       return;
     }
     const target = findTarget(exchange);
-    const body = target && (await takeBody(exchange, target.match));
+    const body = target && (await readOrStreamBody(exchange, target.match));
     if (target === undefined || body === undefined) {
       return;
     }
@@ -76,8 +80,8 @@
     return undefined;
   }
 
-  /** Small bodies are read first, so that they can be recognised and sent again; others stream. */
-  async function takeBody(
+  /** Reads small bodies completely, so that they can be fingerprinted and sent again; streams all others. */
+  async function readOrStreamBody(
     exchange: CallerExchange,
     { document }: PlainTarget,
   ): Promise<PlainBody | undefined> {
@@ -86,7 +90,7 @@
     if (!hasBody(incoming)) {
       return { kind: 'none' };
     }
-    const length = announcedLength(incoming);
+    const length = declaredLength(incoming);
     if (length !== undefined && (length <= maxReplayBytes || length > maxBytes)) {
       const read = await readBody(incoming, { maxBytes, timeoutMs: slowSenderTimeoutMs });
       return read.match(
@@ -104,20 +108,20 @@
 
   async function runTracked(request: PlainRequest): Promise<void> {
     const stop = new AbortController();
-    const link = createLinkedAbort([
+    const linkedAbort = createLinkedAbort([
       { signal: request.exchange.gone, reason: stopReasons.callerGone },
     ]);
-    stop.signal.addEventListener('abort', () => link.abort(stop.signal.reason));
+    stop.signal.addEventListener('abort', () => linkedAbort.abort(stop.signal.reason));
     const timer = setTimeout(
-      () => link.abort(stopReasons.deadline),
+      () => linkedAbort.abort(stopReasons.deadline),
       Math.max(0, request.deadlineAtMs - monotonicNowMs()),
     );
     active.add(stop);
     try {
-      await runPlainRequest(context, createPlainRun(context, request, link.signal));
+      await runPlainRequest(context, createPlainRun(context, request, linkedAbort.signal));
     } finally {
       clearTimeout(timer);
-      link.dispose();
+      linkedAbort.dispose();
       active.delete(stop);
     }
   }
@@ -135,7 +139,7 @@
   target: string;
 }
 
-/** Resolves dot segments: `/public/../orders` must not pass a route that it does not belong to. */
+/** Resolves dot segments, so that `/public/../orders` does not match the route `/public`. */
 function parseTarget(url: string): URL | undefined {
   return url.startsWith('/') ? (URL.parse?.(`http://host${url}`) ?? parseUrl(url)) : undefined;
 }
@@ -187,14 +191,14 @@
     target,
     repeatable: route.repeatable && headerText(headers, callerHeaders.noRepeat) !== 'true',
     claimKey: key === undefined ? undefined : claimKeyOf(document.service, institution, key),
-    fingerprint: plainFingerprint(institution, method, target, body),
+    fingerprint: computePlainFingerprint(institution, method, target, body),
     body,
     arrivedAtMs,
     deadlineAtMs: arrivedAtMs + document.limits.requestTimeoutMs,
   };
 }
 
-function plainFingerprint(
+function computePlainFingerprint(
   institution: string,
   method: string,
   target: string,
--- a/packages/entry/src/problem.ts
+++ b/packages/entry/src/problem.ts
@@ -1,4 +1,4 @@
-/** Refusals as callers see them: `application/problem+json` (RFC 9457). */
+/** Refusals as problem documents: `application/problem+json` (RFC 9457). */
 import type { ServerResponse } from 'node:http';
 import { refusalReasons, type Refusal, type RefusalReason } from '@bluebellhitch/shared';
 
@@ -38,10 +38,10 @@
   [refusalReasons.deadlineExceeded]: { status: 504, title: 'Deadline exceeded' },
 };
 
-const slowSenderStatus = 408;
+const requestTimeoutStatus = 408;
 const defaultRetryAfterMs = 1_000;
 
-/** How a refusal is told; `status` replaces the reason's own one. */
+/** `status` overrides the default status of the refusal's reason. */
 export interface ProblemOptions {
   requestId: string;
   status?: number;
@@ -60,15 +60,15 @@
   };
 }
 
-/** Whole seconds, at least one: callers that come back at once meet the same refusal. */
+/** Whole seconds, at least one, because callers that retry at once would get the same refusal. */
 export function retryAfterSeconds(refusal: Refusal, status: number): number | undefined {
   const isTemporary =
-    status === slowSenderStatus || status === 429 || status === 503 || status === 504;
+    status === requestTimeoutStatus || status === 429 || status === 503 || status === 504;
   const retryAfterMs = refusal.retryAfterMs ?? (isTemporary ? defaultRetryAfterMs : undefined);
   return retryAfterMs === undefined ? undefined : Math.max(1, Math.ceil(retryAfterMs / 1000));
 }
 
-/** Sends the refusal, unless the response has begun or its connection is gone. */
+/** Sends the refusal, unless the response has begun or its connection is closed. */
 export function sendProblem(
   outgoing: ServerResponse,
   refusal: Refusal,
--- a/packages/entry/src/replayBody.ts
+++ b/packages/entry/src/replayBody.ts
@@ -1,15 +1,15 @@
 /**
- * A caller's request body on its way to a backend server. What has been read is kept up to a bound, so
- * that another attempt can send it again from the start.
+ * Body of a caller's request that is streamed to a backend server. Up to a limit, the bytes read so far are
+ * buffered, so that another attempt can send the body again from the start.
  */
 import type { IncomingMessage } from 'node:http';
 import { Readable } from 'node:stream';
 
 export interface ReplayBodyOptions {
   incoming: IncomingMessage;
-  /** Bytes kept for another attempt. */
+  /** Bytes buffered for another attempt. */
   maxReplayBytes: number;
-  /** Bytes that the body may have. */
+  /** Largest size of the body. */
   maxBytes: number;
   /** Longest pause of the sender. */
   idleTimeoutMs: number;
@@ -19,27 +19,25 @@
   { kind: 'too-large'; maxBytes: number } | { kind: 'timeout'; timeoutMs: number };
 
 export interface ReplayBody {
-  /** A new stream from the body's start; the stream of an earlier attempt must have ended. */
+  /** Opens a new stream from the body's start; the stream of an earlier attempt must have ended. */
   open(): Readable;
-  /** Whether the whole body so far is kept. */
+  /** Whether all bytes read so far are still buffered. */
   canReplay(): boolean;
-  /** What was wrong with the caller's body, once a stream has failed for it. */
+  /** Why the caller's body could not be read, once a stream has failed for that reason. */
   fault(): BodyFault | undefined;
 }
 
-/** Whether the request has a body at all. */
 export function hasBody(incoming: IncomingMessage): boolean {
   const { 'content-length': length, 'transfer-encoding': encoding } = incoming.headers;
   return encoding !== undefined || (length !== undefined && Number(length) > 0);
 }
 
-/** Creates the body of one request. */
 export function createReplayBody(options: ReplayBodyOptions): ReplayBody {
   const { incoming, maxReplayBytes, maxBytes, idleTimeoutMs } = options;
   const source = incoming[Symbol.asyncIterator]() as AsyncIterator<Buffer>;
-  /** Chunks read and not dropped yet, `dropped` ones before them. */
+  /** Chunks that were read and not dropped; `droppedCount` chunks preceded them. */
   let kept: Buffer[] = [];
-  let dropped = 0;
+  let droppedCount = 0;
   let readBytes = 0;
   let ended = false;
   let fault: BodyFault | undefined;
@@ -47,7 +45,7 @@
 
   const isReplayable = () => readBytes <= maxReplayBytes;
 
-  async function pullOnce(): Promise<void> {
+  async function readNextChunk(): Promise<void> {
     const next = await withTimeout(source.next(), idleTimeoutMs);
     if (next === undefined) {
       fault = { kind: 'timeout', timeoutMs: idleTimeoutMs };
@@ -62,9 +60,9 @@
     }
   }
 
-  /** An abandoned attempt may still wait for a chunk that the next attempt needs as well. */
+  /** Shares one pending read, as an abandoned attempt may still wait for the chunk that the next attempt needs. */
   function pull(): Promise<void> {
-    pulling ??= pullOnce().finally(() => {
+    pulling ??= readNextChunk().finally(() => {
       pulling = undefined;
     });
     return pulling;
@@ -72,15 +70,15 @@
 
   function dropUpTo(position: number): void {
     if (!isReplayable()) {
-      kept = kept.slice(position - dropped);
-      dropped = position;
+      kept = kept.slice(position - droppedCount);
+      droppedCount = position;
     }
   }
 
   async function* stream(): AsyncGenerator<Buffer> {
     let position = 0;
     while (fault === undefined) {
-      const chunk = kept[position - dropped];
+      const chunk = kept[position - droppedCount];
       if (chunk !== undefined) {
         position += 1;
         yield chunk;
@@ -96,7 +94,7 @@
 
   return {
     open: () => Readable.from(stream(), { objectMode: false }),
-    canReplay: () => dropped === 0 && isReplayable(),
+    canReplay: () => droppedCount === 0 && isReplayable(),
     fault: () => fault,
   };
 }
--- a/packages/entry/src/requestBody.ts
+++ b/packages/entry/src/requestBody.ts
@@ -1,39 +1,39 @@
-/** Reads request bodies within bounds of size and time. */
+/** Reads request bodies within limits on size and time. */
 import type { IncomingMessage } from 'node:http';
 import { err, errAsync, ok, ResultAsync, type Result } from 'neverthrow';
 
 export type BodyError =
   | { kind: 'too-large'; maxBytes: number }
-  /** The sender was too slow. */
+  /** The body did not arrive in time. */
   | { kind: 'timeout'; timeoutMs: number }
-  /** The caller went away. */
+  /** The caller disconnected. */
   | { kind: 'aborted' };
 
 export interface ReadBodyOptions {
   maxBytes: number;
-  /** Bound for the whole body. */
+  /** Time within which the complete body must arrive. */
   timeoutMs: number;
 }
 
-/** Length that the request announces, in bytes. */
-export function announcedLength(incoming: IncomingMessage): number | undefined {
+/** The request's `Content-Length` in bytes. */
+export function declaredLength(incoming: IncomingMessage): number | undefined {
   const text = incoming.headers['content-length'];
   return text === undefined ? undefined : Number(text);
 }
 
-/** Reads the whole body; after an error the rest of it is not read. */
+/** Reads the complete body; after an error the rest is not read. */
 export function readBody(
   incoming: IncomingMessage,
   options: ReadBodyOptions,
 ): ResultAsync<Buffer, BodyError> {
   const { maxBytes } = options;
-  if ((announcedLength(incoming) ?? 0) > maxBytes) {
+  if ((declaredLength(incoming) ?? 0) > maxBytes) {
     return errAsync({ kind: 'too-large', maxBytes });
   }
-  return new ResultAsync(collect(incoming, options));
+  return new ResultAsync(collectBody(incoming, options));
 }
 
-function collect(
+function collectBody(
   incoming: IncomingMessage,
   options: ReadBodyOptions,
 ): Promise<Result<Buffer, BodyError>> {
--- a/packages/entry/src/serviceTable.ts
+++ b/packages/entry/src/serviceTable.ts
@@ -1,19 +1,19 @@
-/** The accepted documents in force, and which of them a request belongs to. */
+/** The active documents, and the lookup of the one that a request belongs to. */
 import { acceptedDocumentSchema, type Route, type ServiceDocument } from '@bluebellhitch/document';
 
-/** A service whose document this entry knows. */
+/** The active document of a service. */
 export interface ServiceEntry {
   generation: number;
   document: ServiceDocument;
 }
 
-/** A model request's service and the engine's name of the model or adapter. */
+/** Service of a model request, and the name of the model or adapter in the engine. */
 export interface ModelTarget {
   document: ServiceDocument;
   engineModel: string;
 }
 
-/** A plain request's service and the route that it matched. */
+/** Service of a plain request, and the route that it matched. */
 export interface PlainTarget {
   document: ServiceDocument;
   route: Route;
@@ -21,34 +21,33 @@
 
 export interface PlainQuery {
   host?: string;
-  /** Normalised path without the query. */
+  /** Normalised path without query. */
   path: string;
   method: string;
 }
 
 export type PlainMatch =
   | { kind: 'found'; target: PlainTarget }
-  /** A route has the path, but none has the method. */
+  /** Routes match the path, but none of them allows the method. */
   | { kind: 'method-not-allowed'; allowed: string[] }
   | { kind: 'none' };
 
 export interface ServiceTable {
-  /** Takes an `accepted` value; false where it is unusable or not newer than the one in force. */
+  /** Stores an `accepted` value; false if it is invalid or not newer than the active one. */
   put(value: unknown): boolean;
-  /** The service's document was removed at this generation. */
+  /** Removes the service, unless a generation newer than this one is known. */
   remove(service: string, generation: number): void;
   get(service: string): ServiceEntry | undefined;
   list(): ServiceEntry[];
   findModel(name: string): ModelTarget | undefined;
   findPlain(query: PlainQuery): PlainMatch;
-  /** Whether a plain service has the host to itself. */
-  hasHost(host: string): boolean;
+  /** Whether a route of a plain service names this host. */
+  hasPlainHost(host: string): boolean;
 }
 
-/** Creates an empty table. */
 export function createServiceTable(): ServiceTable {
   const services = new Map<string, ServiceEntry>();
-  /** Highest generation seen of each service, removed ones included: none is ever applied again. */
+  /** Highest known generation of each service, including removed ones, so that no generation is applied twice. */
   const generations = new Map<string, number>();
 
   function put(value: unknown): boolean {
@@ -57,8 +56,8 @@
       return false;
     }
     const { generation, document } = parsed.data;
-    // A relay may lag and offer an older document after a newer one; applying it would silently undo
-    // an edit that its team saw accepted. The highest generation seen decides, whoever sent it.
+    // A lagging relay may deliver an older document after a newer one. Applying it would silently undo an edit that its
+    // team saw accepted, so only a generation above the highest known one is applied, whoever sent it.
     if (generation <= (generations.get(document.service) ?? 0)) {
       return false;
     }
@@ -78,7 +77,7 @@
     const candidates = [...services.values()]
       .filter(({ document }) => document.kind === 'plain')
       .flatMap(({ document }) => document.routes.map((route) => ({ document, route })))
-      .filter(({ route }) => matchesPlace(route, query));
+      .filter(({ route }) => matchesHostAndPath(route, query));
     const allowed = candidates.filter(({ route }) => allowsMethod(route, query.method));
     const [best] = allowed.sort(
       (left, right) => specificity(right.route) - specificity(left.route),
@@ -99,15 +98,16 @@
     list: () => [...services.values()],
     findModel: (name) => resolveModel(name, (service) => services.get(service)?.document),
     findPlain,
-    hasHost: (host) =>
+    hasPlainHost: (host) =>
       [...services.values()].some(
         ({ document }) =>
-          document.kind === 'plain' && document.routes.some((route) => sameHost(route.host, host)),
+          document.kind === 'plain' &&
+          document.routes.some((route) => isSameHost(route.host, host)),
       ),
   };
 }
 
-/** Accepts `<service>` and `<service>/<model or adapter>`. */
+/** Resolves `<service>` and `<service>/<model or adapter>`. */
 function resolveModel(
   name: string,
   find: (service: string) => ServiceDocument | undefined,
@@ -118,16 +118,16 @@
   if (document?.kind !== 'model') {
     return undefined;
   }
-  const wanted = separator === -1 ? document.models[0]?.name : name.slice(separator + 1);
-  const offered = document.models.flatMap((model) => [model.name, ...model.adapters]);
-  return wanted !== undefined && offered.includes(wanted)
-    ? { document, engineModel: wanted }
+  const requestedName = separator === -1 ? document.models[0]?.name : name.slice(separator + 1);
+  const availableNames = document.models.flatMap((model) => [model.name, ...model.adapters]);
+  return requestedName !== undefined && availableNames.includes(requestedName)
+    ? { document, engineModel: requestedName }
     : undefined;
 }
 
-function matchesPlace(route: Route, query: PlainQuery): boolean {
+function matchesHostAndPath(route: Route, query: PlainQuery): boolean {
   const hostMatches =
-    route.host === undefined || (query.host !== undefined && sameHost(route.host, query.host));
+    route.host === undefined || (query.host !== undefined && isSameHost(route.host, query.host));
   return hostMatches && isPathPrefix(route.pathPrefix, query.path);
 }
 
@@ -140,7 +140,7 @@
   return path === prefix || path.startsWith(prefix.endsWith('/') ? prefix : `${prefix}/`);
 }
 
-function sameHost(pattern: string | undefined, host: string): boolean {
+function isSameHost(pattern: string | undefined, host: string): boolean {
   return pattern !== undefined && pattern.toLowerCase() === withoutPort(host).toLowerCase();
 }
 
@@ -148,7 +148,7 @@
   return host.replace(/:\d+$/, '');
 }
 
-/** A host counts more than any prefix, then the longest prefix, then a route that names methods. */
+/** Routes with a host take precedence, then those with a longer prefix, then those that name methods. */
 function specificity(route: Route): number {
   const hostWeight = route.host === undefined ? 0 : 1_000_000;
   return hostWeight + route.pathPrefix.length * 2 + (route.methods === undefined ? 0 : 1);
--- a/packages/entry/src/sseWriter.ts
+++ b/packages/entry/src/sseWriter.ts
@@ -1,18 +1,18 @@
-/** Writes server-sent events to a caller, waiting while the connection is full. */
+/** Writes server-sent events to a caller with backpressure. */
 import { once } from 'node:events';
 import type { ServerResponse } from 'node:http';
 
 export interface SseWriter {
-  /** Resolves when the connection can take more, or is gone. */
+  /** Resolves when the connection accepts more data or is closed. */
   data(value: object): Promise<void>;
   event(name: string, value: object): Promise<void>;
-  /** Ends a whole answer with `data: [DONE]`. */
+  /** Ends a complete response with `data: [DONE]`. */
   done(): void;
-  /** Ends without the end marker. */
+  /** Ends the response without the end marker. */
   end(): void;
 }
 
-/** Sends the response's head at once. */
+/** Creates the writer and sends the response head. */
 export function createSseWriter(
   outgoing: ServerResponse,
   headers: Record<string, string> = {},
