--- a/packages/entry/__tests__/support/fakeAgents.ts
+++ b/packages/entry/__tests__/support/fakeAgents.ts
@@ -12,7 +12,7 @@
   WorkerRole,
 } from '@bluebellhitch/protocol';
 import type { PlatformInstance } from '@bluebellhitch/objects';
-import type { AgentApi, AgentCallError, PlainAnswer, PlainCall } from '../../src/agentApi';
+import type { AgentApi, AgentCallError, PlainResponse, PlainCall } from '../../src/agentApi';
 
 export interface FakeAgent {
   instance: PlatformInstance;
@@ -20,7 +20,9 @@
   reserve: (attemptId: string) => ReserveReply | AgentCallError | Promise<ReserveReply>;
   prefill: (attemptId: string) => PrefillReply | AgentCallError | Promise<PrefillReply>;
   frames: (request: StreamRequest, signal: AbortSignal) => AsyncIterable<StreamFrame>;
-  plain: (call: PlainCall) => PlainAnswer | AgentCallError | Promise<PlainAnswer | AgentCallError>;
+  plain: (
+    call: PlainCall,
+  ) => PlainResponse | AgentCallError | Promise<PlainResponse | AgentCallError>;
   cancel: () => AgentCallError | undefined;
   /** Ids of attempts that hold memory here: granted, and neither ended nor cancelled. */
   held: Set<string>;
@@ -111,7 +113,7 @@
   return { kind: 'end', attemptId, offset: words.length, finishReason: 'stop' };
 }
 
-export function plainResponse(status: number, text: string): PlainAnswer {
+export function plainResponse(status: number, text: string): PlainResponse {
   return { status, headers: { 'content-type': 'text/plain' }, body: Readable.from([text]) };
 }
 
--- a/packages/entry/__tests__/support/harness.ts
+++ b/packages/entry/__tests__/support/harness.ts
@@ -6,7 +6,7 @@
 import { createSeededRandom } from '@bluebellhitch/shared';
 import { createDecisionRing, createEntryMetrics } from '@bluebellhitch/telemetry';
 import type { CallersTls } from '../../src/callersTls';
-import { createCallersSide, type CallersSide } from '../../src/callersSide';
+import { createCallersApi, type CallersApi } from '../../src/callersApi';
 import { createCancellations } from '../../src/cancellations';
 import { createHeartbeats } from '../../src/heartbeats';
 import { defaultRequestTimeouts, type RequestContext } from '../../src/requestContext';
@@ -28,7 +28,7 @@
 export interface Harness {
   address: string;
   context: RequestContext;
-  side: CallersSide;
+  side: CallersApi;
   ring: ReturnType<typeof createDecisionRing>;
   left: string[];
   down: string[];
@@ -108,7 +108,7 @@
       random,
     }),
     heartbeats: createHeartbeats({ agents: api, entryId: 'entry-1', entryIncarnation: '1' }),
-    cancellations: createCancellations({ agents: api, entryId: 'entry-1', pauseMs: 5 }),
+    cancellations: createCancellations({ agents: api, entryId: 'entry-1', retryDelayMs: 5 }),
     claims: options.claims ?? createOpenClaims(),
     strikes: options.strikes ?? createLocalStrikes(),
     metrics: createEntryMetrics(),
@@ -121,7 +121,7 @@
     },
     timeouts: { ...defaultRequestTimeouts, ...options.timeouts },
   };
-  const side = await createCallersSide({
+  const side = await createCallersApi({
     context,
     services,
     host: '127.0.0.1',
--- a/packages/entry/src/agentApi.ts
+++ b/packages/entry/src/agentApi.ts
@@ -52,7 +52,7 @@
 }
 
 /** Response to a plain call; `body` must be read or destroyed. */
-export interface PlainAnswer {
+export interface PlainResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   body: Readable;
@@ -94,5 +94,5 @@
     request: StreamRequest,
     options: AgentCallOptions,
   ): ResultAsync<AsyncIterable<StreamFrame>, StreamOpenError>;
-  plain(address: string, call: PlainCall): ResultAsync<PlainAnswer, AgentCallError>;
+  plain(address: string, call: PlainCall): ResultAsync<PlainResponse, AgentCallError>;
 }
--- a/packages/entry/src/callerExchange.ts
+++ b/packages/entry/src/callerExchange.ts
@@ -10,7 +10,7 @@
   incoming: IncomingMessage;
   outgoing: ServerResponse;
   /** Aborts when the caller's connection closes before the response is complete. */
-  gone: AbortSignal;
+  disconnectSignal: AbortSignal;
   refuse(refusal: Refusal, status?: number): void;
 }
 
@@ -33,7 +33,7 @@
     requestId,
     incoming,
     outgoing,
-    gone: disconnect.signal,
+    disconnectSignal: disconnect.signal,
     refuse(refusal, status) {
       if (!incoming.complete) {
         // The rest of the body is not read, so the connection cannot serve another request.
--- a/packages/entry/src/callersSide.ts
+++ b/packages/entry/src/callersApi.ts
@@ -8,7 +8,7 @@
 import type { RequestContext } from './requestContext';
 import type { ServiceTable } from './serviceTable';
 
-export interface CallersSideOptions {
+export interface CallersApiOptions {
   context: RequestContext;
   services: ServiceTable;
   host: string;
@@ -22,7 +22,7 @@
   slowSenderTimeoutMs: number;
 }
 
-export interface CallersSide {
+export interface CallersApi {
   /** `http://ip:port`, or `https` with TLS. */
   address: string;
   activeCount(): number;
@@ -35,7 +35,7 @@
 const forcedStopTimeoutMs = 1_000;
 
 /** Starts the server; rejects if the port is in use. */
-export async function createCallersSide(options: CallersSideOptions): Promise<CallersSide> {
+export async function createCallersApi(options: CallersApiOptions): Promise<CallersApi> {
   const { context, services, slowSenderTimeoutMs, maxBodyBytes, maxConnections } = options;
   const runs = createModelRuns(context);
   const plain = createPlainApi({ context, services, slowSenderTimeoutMs });
--- a/packages/entry/src/cancellations.ts
+++ b/packages/entry/src/cancellations.ts
@@ -10,7 +10,7 @@
   entryId: string;
   timeoutMs?: number;
   /** Delay before the first retry; doubles up to `maxRetryDelayMs`. */
-  pauseMs?: number;
+  retryDelayMs?: number;
   maxRetryDelayMs?: number;
   maxTries?: number;
 }
@@ -26,11 +26,11 @@
 
 export function createCancellations(options: CancellationsOptions): Cancellations {
   const { agents, entryId } = options;
-  const { timeoutMs = 500, pauseMs = 50, maxRetryDelayMs = 500, maxTries = 12 } = options;
+  const { timeoutMs = 500, retryDelayMs = 50, maxRetryDelayMs = 500, maxTries = 12 } = options;
   const pending = new Set<Promise<void>>();
 
   async function cancelUntilConfirmed(address: string, attemptId: string): Promise<void> {
-    let nextDelayMs = pauseMs;
+    let nextDelayMs = retryDelayMs;
     for (let attempt = 0; attempt < maxTries; attempt += 1) {
       const result = await agents.cancel(address, { entryId, attemptId }, { timeoutMs });
       if (result.isOk()) {
--- a/packages/entry/src/completionsApi.ts
+++ b/packages/entry/src/completionsApi.ts
@@ -2,7 +2,7 @@
 import { effectiveClass, type ServiceDocument } from '@bluebellhitch/document';
 import { callerHeaders, estimateTokens, prefixBlockHashes } from '@bluebellhitch/protocol';
 import { assertNever, createRefusal, monotonicNowMs, refusalReasons } from '@bluebellhitch/shared';
-import type { AnswerEvent, AnswerLog } from './answerLog';
+import type { ResponseEvent, ResponseLog } from './responseLog';
 import { refuseBadHeaders, refuseBody, type CallerExchange } from './callerExchange';
 import { parseCompletionBody, type CompletionBody, type CompletionKind } from './completionsBody';
 import {
@@ -13,7 +13,7 @@
   completionObject,
   type CompletionIdentity,
 } from './completionsFormat';
-import { claimKeyOf, fingerprintOf } from './digests';
+import { computeClaimKey, computeFingerprint } from './digests';
 import { headerText } from './headers';
 import type { ModelRuns } from './modelRuns';
 import type { ModelRequest } from './modelTypes';
@@ -117,7 +117,7 @@
     const { request, body, shareKey } = admitted;
     const membership = runs.start(request, shareKey);
     const leaveRun = () => membership.leave();
-    exchange.gone.addEventListener('abort', leaveRun);
+    exchange.disconnectSignal.addEventListener('abort', leaveRun);
     const identity: CompletionIdentity = {
       kind: body.kind,
       requestId: exchange.requestId,
@@ -193,8 +193,8 @@
     prefixBlocks: prefixBlockHashes(body.prompt),
     maxOutputTokens: Math.min(body.maxOutputTokens ?? maxOutputTokens, maxOutputTokens),
     repeatable,
-    claimKey: key === undefined ? undefined : claimKeyOf(document.service, institution, key),
-    fingerprint: fingerprintOf(institution, bytes),
+    claimKey: key === undefined ? undefined : computeClaimKey(document.service, institution, key),
+    fingerprint: computeFingerprint(institution, bytes),
     arrivedAtMs,
     deadlineAtMs: arrivedAtMs + requestTimeoutMs,
   };
@@ -212,11 +212,11 @@
  */
 async function sendStream(
   exchange: CallerExchange,
-  log: AnswerLog,
+  log: ResponseLog,
   format: ResponseFormat,
 ): Promise<void> {
   let writer: SseWriter | undefined;
-  for await (const event of log.read(exchange.gone)) {
+  for await (const event of log.read(exchange.disconnectSignal)) {
     if (event.kind === 'refused' && writer === undefined) {
       exchange.refuse(event.refusal);
       return;
@@ -229,7 +229,7 @@
 
 async function sendEvent(
   writer: SseWriter,
-  event: AnswerEvent,
+  event: ResponseEvent,
   format: ResponseFormat & { isFirst: boolean; requestId: string },
 ): Promise<void> {
   const { identity, promptTokens, body } = format;
@@ -256,11 +256,11 @@
 
 async function sendCompletion(
   exchange: CallerExchange,
-  log: AnswerLog,
+  log: ResponseLog,
   { identity, promptTokens }: ResponseFormat,
 ): Promise<void> {
   const texts: string[] = [];
-  for await (const event of log.read(exchange.gone)) {
+  for await (const event of log.read(exchange.disconnectSignal)) {
     switch (event.kind) {
       case 'tokens':
         texts.push(event.text);
--- a/packages/entry/src/digests.ts
+++ b/packages/entry/src/digests.ts
@@ -10,11 +10,15 @@
 }
 
 /** Fingerprint of a request's institution and content, by which repeated requests are recognised. */
-export function fingerprintOf(institution: string, ...content: (string | Buffer)[]): string {
+export function computeFingerprint(institution: string, ...content: (string | Buffer)[]): string {
   return digest([institution, ...content]);
 }
 
 /** Key of a claim, unique for each service, institution and idempotency key. */
-export function claimKeyOf(service: string, institution: string, idempotencyKey: string): string {
+export function computeClaimKey(
+  service: string,
+  institution: string,
+  idempotencyKey: string,
+): string {
   return `${service}/${digest([institution, idempotencyKey])}`;
 }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -13,7 +13,7 @@
   type Logger,
   type StopKind,
 } from '@bluebellhitch/telemetry';
-import { createCallersSide } from './callersSide';
+import { createCallersApi } from './callersApi';
 import type { CallersTls } from './callersTls';
 import { createCancellations } from './cancellations';
 import type { ConfigurationFeed } from './configurationFeed';
@@ -92,7 +92,7 @@
       strike: (received) => Promise.resolve(strikes.receive(received)),
     },
   });
-  const callers = await createCallersSide({
+  const callers = await createCallersApi({
     context,
     services,
     host: settings.entryHost,
--- a/packages/entry/src/httpAgentClient.ts
+++ b/packages/entry/src/httpAgentClient.ts
@@ -23,7 +23,7 @@
   AgentApi,
   AgentCallError,
   AgentCallOptions,
-  PlainAnswer,
+  PlainResponse,
   PlainCall,
   StreamOpenError,
 } from './agentApi';
@@ -51,7 +51,7 @@
 }
 
 type RouterClient = TRPCClient<AgentRouter>;
-type ResponseHeaders = PlainAnswer['headers'];
+type ResponseHeaders = PlainResponse['headers'];
 
 /** Procedures that are called periodically rather than on behalf of a request. */
 const controlProcedures: readonly string[] = ['heartbeat'];
@@ -270,7 +270,7 @@
   transport: Transport,
   address: string,
   call: PlainCall,
-): ResultAsync<PlainAnswer, AgentCallError> {
+): ResultAsync<PlainResponse, AgentCallError> {
   const sending = sendPlainRequest(transport, address, call);
   return ResultAsync.fromPromise(sending, (error) => toPlainCallError(error, call)).map(
     ({ statusCode, headers, body }) => {
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -2,19 +2,19 @@
   AgentApi,
   AgentCallError,
   AgentCallOptions,
-  PlainAnswer,
+  PlainResponse,
   PlainCall,
   StreamOpenError,
 } from './agentApi';
-export { createAnswerLog, type AnswerEvent, type AnswerLog } from './answerLog';
-export { createCallersSide, type CallersSide, type CallersSideOptions } from './callersSide';
+export { createResponseLog, type ResponseEvent, type ResponseLog } from './responseLog';
+export { createCallersApi, type CallersApi, type CallersApiOptions } from './callersApi';
 export {
   createCancellations,
   type Cancellations,
   type CancellationsOptions,
 } from './cancellations';
 export type { ConfigurationFeed } from './configurationFeed';
-export { claimKeyOf, fingerprintOf } from './digests';
+export { computeClaimKey, computeFingerprint } from './digests';
 export { startEntry, type Entry, type EntryOptions } from './entry';
 export { startEntryProcess, type EntryProcess } from './entryProcess';
 export { entrySettings, type EntrySettings } from './entrySettings';
--- a/packages/entry/src/modelRuns.ts
+++ b/packages/entry/src/modelRuns.ts
@@ -3,7 +3,7 @@
  * share one run; a run is stopped when its last caller has disconnected.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
-import { createAnswerLog, type AnswerLog } from './answerLog';
+import { createResponseLog, type ResponseLog } from './responseLog';
 import { runModelRequest } from './modelRequest';
 import { stopReasons, type ModelRequest, type ModelRun, type StopReason } from './modelTypes';
 import type { RequestContext } from './requestContext';
@@ -12,7 +12,7 @@
 
 /** A caller's subscription to a run. */
 export interface RunSubscription {
-  log: AnswerLog;
+  log: ResponseLog;
   /** Call it when the caller has disconnected or has its response; idempotent. */
   leave(): void;
 }
@@ -27,7 +27,7 @@
 }
 
 interface ActiveRun {
-  log: AnswerLog;
+  log: ResponseLog;
   stop: AbortController;
   callerCount: number;
   finished: Promise<unknown>;
@@ -40,7 +40,7 @@
 
   function startRun(request: ModelRequest): ActiveRun {
     const stop = new AbortController();
-    const log = createAnswerLog();
+    const log = createResponseLog();
     const run = createRun(context, request, log, stop.signal);
     const timer = setTimeout(
       () => stop.abort(stopReasons.deadline),
@@ -106,7 +106,7 @@
 function createRun(
   context: RequestContext,
   request: ModelRequest,
-  log: AnswerLog,
+  log: ResponseLog,
   signal: AbortSignal,
 ): ModelRun {
   return {
--- a/packages/entry/src/modelTypes.ts
+++ b/packages/entry/src/modelTypes.ts
@@ -3,7 +3,7 @@
 import type { RequestOrigin } from '@bluebellhitch/protocol';
 import type { NotRun, Refusal, RefusalReason } from '@bluebellhitch/shared';
 import type { RetryCause } from '@bluebellhitch/telemetry';
-import type { AnswerLog } from './answerLog';
+import type { ResponseLog } from './responseLog';
 import type { RequestContext } from './requestContext';
 import type { RequestTrace } from './requestTrace';
 
@@ -32,7 +32,7 @@
   context: RequestContext;
   request: ModelRequest;
   trace: RequestTrace;
-  log: AnswerLog;
+  log: ResponseLog;
   /** Aborts when no caller waits for the response any more, or when the deadline has passed. */
   signal: AbortSignal;
   emitted: { tokenCount: number; text: string };
--- a/packages/entry/src/plainApi.ts
+++ b/packages/entry/src/plainApi.ts
@@ -3,7 +3,7 @@
 import { callerHeaders } from '@bluebellhitch/protocol';
 import { assertNever, createRefusal, monotonicNowMs, refusalReasons } from '@bluebellhitch/shared';
 import { refuseBadHeaders, refuseBody, type CallerExchange } from './callerExchange';
-import { claimKeyOf, fingerprintOf } from './digests';
+import { computeClaimKey, computeFingerprint } from './digests';
 import { headerText } from './headers';
 import { createLinkedAbort } from './linkedAbort';
 import { stopReasons, type StopReason } from './modelTypes';
@@ -109,7 +109,7 @@
   async function runTracked(request: PlainRequest): Promise<void> {
     const stop = new AbortController();
     const linkedAbort = createLinkedAbort([
-      { signal: request.exchange.gone, reason: stopReasons.callerGone },
+      { signal: request.exchange.disconnectSignal, reason: stopReasons.callerGone },
     ]);
     stop.signal.addEventListener('abort', () => linkedAbort.abort(stop.signal.reason));
     const timer = setTimeout(
@@ -190,7 +190,7 @@
     method,
     target,
     repeatable: route.repeatable && headerText(headers, callerHeaders.noRepeat) !== 'true',
-    claimKey: key === undefined ? undefined : claimKeyOf(document.service, institution, key),
+    claimKey: key === undefined ? undefined : computeClaimKey(document.service, institution, key),
     fingerprint: computePlainFingerprint(institution, method, target, body),
     body,
     arrivedAtMs,
@@ -206,9 +206,9 @@
 ): string | undefined {
   switch (body.kind) {
     case 'none':
-      return fingerprintOf(institution, method, target);
+      return computeFingerprint(institution, method, target);
     case 'whole':
-      return fingerprintOf(institution, method, target, body.bytes);
+      return computeFingerprint(institution, method, target, body.bytes);
     case 'streamed':
       return undefined;
     default:
--- a/packages/entry/src/plainCall.ts
+++ b/packages/entry/src/plainCall.ts
@@ -3,7 +3,7 @@
 import type { PlatformInstance } from '@bluebellhitch/objects';
 import { innerHeaders } from '@bluebellhitch/protocol';
 import { monotonicNowMs, type NotRun } from '@bluebellhitch/shared';
-import type { PlainAnswer } from './agentApi';
+import type { PlainResponse } from './agentApi';
 import { failureOfCall, failureOfRefusal } from './agentFailures';
 import { endToEndHeaders } from './headers';
 import type { HeldLease } from './heldLease';
@@ -94,10 +94,10 @@
   context: RequestContext,
   run: PlainRun,
   placement: PlainPlacement,
-  response: PlainAnswer,
+  response: PlainResponse,
 ): PlainFailure {
   const { instance } = placement;
-  const refusal = response.refusal as NonNullable<PlainAnswer['refusal']>;
+  const refusal = response.refusal as NonNullable<PlainResponse['refusal']>;
   response.body.destroy();
   placement.lease?.markEnded();
   noteRefusal(context, run.request.document.service, instance.id, refusal);
@@ -134,7 +134,7 @@
   context: RequestContext,
   run: PlainRun,
   placement: PlainPlacement,
-  response: PlainAnswer,
+  response: PlainResponse,
 ): Promise<PlainOutcome> {
   const { exchange, document } = run.request;
   const { outgoing, requestId } = exchange;
@@ -145,7 +145,7 @@
     // Destroys the outgoing response if the incoming one breaks.
     await pipeline(response.body, outgoing);
   } catch (error) {
-    if (exchange.gone.aborted && !response.body.errored) {
+    if (exchange.disconnectSignal.aborted && !response.body.errored) {
       return { kind: 'stopped' };
     }
     noteOutcome(context, document.service, placement.instance.id, 'failure');
@@ -156,7 +156,7 @@
   return { kind: 'answered', status: response.status };
 }
 
-function responseHeaders(headers: PlainAnswer['headers']): Record<string, string | string[]> {
+function responseHeaders(headers: PlainResponse['headers']): Record<string, string | string[]> {
   return endToEndHeaders(headers);
 }
 
--- a/packages/entry/src/answerLog.ts
+++ b/packages/entry/src/responseLog.ts
@@ -6,22 +6,22 @@
 import type { FinishReason } from '@bluebellhitch/protocol';
 import { invariant, type Refusal } from '@bluebellhitch/shared';
 
-export type AnswerEvent =
+export type ResponseEvent =
   | { kind: 'tokens'; text: string; tokenCount: number }
   | { kind: 'end'; finishReason: FinishReason; outputTokens: number }
   /** The request failed; if tokens precede this event, the response is incomplete. */
   | { kind: 'refused'; refusal: Refusal };
 
-export interface AnswerLog {
-  append(event: AnswerEvent): void;
+export interface ResponseLog {
+  append(event: ResponseEvent): void;
   /** Reads all events from the first; ends after `end` or `refused`, or when `signal` aborts. */
-  read(signal?: AbortSignal): AsyncIterable<AnswerEvent>;
+  read(signal?: AbortSignal): AsyncIterable<ResponseEvent>;
   /** Whether the last event has been appended. */
   isClosed(): boolean;
 }
 
-export function createAnswerLog(): AnswerLog {
-  const events: AnswerEvent[] = [];
+export function createResponseLog(): ResponseLog {
+  const events: ResponseEvent[] = [];
   const waiters = new Set<() => void>();
   let closed = false;
 
@@ -43,7 +43,7 @@
     });
   }
 
-  async function* read(signal?: AbortSignal): AsyncGenerator<AnswerEvent> {
+  async function* read(signal?: AbortSignal): AsyncGenerator<ResponseEvent> {
     let position = 0;
     while (!signal?.aborted) {
       const event = events[position];
--- a/packages/scenarios/src/world/callers.ts
+++ b/packages/scenarios/src/world/callers.ts
@@ -9,9 +9,9 @@
   type RefusalReason,
 } from '@bluebellhitch/shared';
 import {
-  claimKeyOf,
-  fingerprintOf,
-  type AnswerEvent,
+  computeClaimKey,
+  computeFingerprint,
+  type ResponseEvent,
   type ModelRequest,
 } from '@bluebellhitch/entry';
 import { runOutsideProcesses } from './simulatedProcess';
@@ -122,7 +122,7 @@
     }
   }
 
-  function receive(event: AnswerEvent): void {
+  function receive(event: ResponseEvent): void {
     if (sent.outcome !== undefined) {
       return;
     }
@@ -170,8 +170,8 @@
     prefixBlocks: prefixBlockHashes(prompt),
     maxOutputTokens: Math.min(request.outputTokens, document.limits.maxOutputTokens),
     repeatable: !marked,
-    claimKey: key === undefined ? undefined : claimKeyOf(document.service, institution, key),
-    fingerprint: fingerprintOf(institution, prompt),
+    claimKey: key === undefined ? undefined : computeClaimKey(document.service, institution, key),
+    fingerprint: computeFingerprint(institution, prompt),
     arrivedAtMs,
     deadlineAtMs: arrivedAtMs + document.limits.requestTimeoutMs,
   };
