--- a/packages/replay/__tests__/pattern.test.ts
+++ b/packages/replay/__tests__/pattern.test.ts
@@ -13,13 +13,13 @@
   });
 });
 
-test('each fault of a pattern is told with its place', (t) => {
+test('each error in a pattern is reported with its path', (t) => {
   const text = readFileSync(new URL('burst.yaml', folder), 'utf8');
-  const broken = text.replace('seconds: 26', 'seconds: none').replace('decode: 6', 'decoders: 6');
-  const places = parsePattern(broken)
+  const invalid = text.replace('seconds: 26', 'seconds: none').replace('decode: 6', 'decoders: 6');
+  const paths = parsePattern(invalid)
     ._unsafeUnwrapErr()
     .map(({ path }) => path);
-  t.true(places.includes('seconds'));
-  t.true(places.some((path) => path.startsWith('engines')));
+  t.true(paths.includes('seconds'));
+  t.true(paths.some((path) => path.startsWith('engines')));
   t.is(parsePattern('{').isErr(), true);
 });
--- a/packages/replay/__tests__/quotaReplay.test.ts
+++ b/packages/replay/__tests__/quotaReplay.test.ts
@@ -24,27 +24,27 @@
   };
 }
 
-test('a workspace within its quota is hardly refused, however its callers are spread', (t) => {
-  // A caller within its workspace's quota would be refused. Requests come evenly, or most to one router, where
-  // an even share of the rate would refuse half of them.
+test('a workspace within its quota is rarely refused, however its requests are distributed', (t) => {
+  // Guards against refusing requests within the quota. They arrive evenly, or most at one router, where an even share of
+  // the rate would refuse half of them.
   t.true(replay({}).owedShare > 0.97);
   t.true(replay({ shareAtOne: 0.7 }).owedShare > 0.95);
   t.true(replay({ shareAtOne: 0.7 }, quotaWays.evenShares).owedShare < 0.5);
 });
 
-test('a workspace that sends four times its quota gets the quota, and hardly more', (t) => {
+test('a workspace that sends four times its quota gets its quota and little more', (t) => {
   const { worst, admittedShare } = replay({ steps: [flood] });
   t.true(worst < 1);
   t.true(admittedShare > 0.95 && admittedShare < 1.05);
 });
 
-test('counting behind the requests lets more through than is allowed once routers are cut off', (t) => {
+test('counting after admission exceeds the allowed overage once routers are partitioned', (t) => {
   const steps: QuotaStep[] = [flood, { kind: 'cut', atMs: 3_000, forMs: 12_000, share: 0.35 }];
   t.true(replay({ steps }, quotaWays.blockLater).worst > 1);
   t.true(replay({ steps }).worst < 1);
 });
 
-test('a limit that falls far below what is asked binds', (t) => {
+test('a limit that drops far below the demand is enforced', (t) => {
   const { worst, admittedShare } = replay({
     steps: [{ kind: 'limit', atMs: 6_000, factor: 0.15 }],
   });
@@ -52,11 +52,11 @@
   t.true(admittedShare > 0.9);
 });
 
-/** What may befall a fleet while a workspace floods it: all at once, at random. */
+/** A random combination of faults while a workspace exceeds its quota. */
 function randomLoad(seed: number): QuotaLoad {
   const random = createSeededRandom(seed);
-  const between = (least: number, most: number) => least + (most - least) * random();
-  const chosen = (steps: QuotaStep[]) => steps.filter(() => random() < 0.5);
+  const between = (min: number, max: number) => min + (max - min) * random();
+  const pickSome = (steps: QuotaStep[]) => steps.filter(() => random() < 0.5);
   const ratePerSecond = between(5_000, 400_000);
   return {
     ...base,
@@ -66,13 +66,13 @@
     ratePerSecond,
     burst: ratePerSecond * between(0.5, 1.5),
     cost: { least: 200, most: Math.min(6_600, ratePerSecond / 2) },
-    // Of the size that the users' deployment has, about four seconds of the rate.
+    // As in the users' deployment, about four seconds of the rate.
     slack: { windowMs: 8_000, overageShare: 0.1, amount: 4 * ratePerSecond },
     delayMs: between(2, 30),
     lostShare: between(0, 0.05),
     steps: [
       { kind: 'demand', atMs: between(0, 6_000), forMs: 12_000, factor: between(2, 7.5) },
-      ...chosen([
+      ...pickSome([
         { kind: 'cut', atMs: between(0, 12_000), forMs: between(1_000, 9_000), share: 0.35 },
         { kind: 'split', atMs: between(0, 12_000), forMs: between(1_000, 9_000), groups: 2 },
         { kind: 'restart', atMs: between(0, 20_000), share: random() < 0.3 ? 1 : 0.3 },
@@ -85,8 +85,8 @@
 }
 
 Array.from({ length: 24 }, (_none, index) => index + 1).forEach((seed) => {
-  test(`whatever befalls a fleet, no window holds more than is allowed: seed ${seed}`, async (t) => {
-    // A replay takes the whole process for a second: the runner must hear of each test as it ends.
+  test(`no window exceeds the allowed amount under random faults: seed ${seed}`, async (t) => {
+    // A replay blocks the event loop for about a second; yield so that the runner can report each test as it ends.
     await delay(0);
     const load = randomLoad(seed);
     const { worstWindowShare } = runQuotaReplay({ load, way: quotaWays.account, seed });
--- a/packages/replay/__tests__/replayRun.test.ts
+++ b/packages/replay/__tests__/replayRun.test.ts
@@ -28,7 +28,7 @@
   seeds: readonly number[],
   absent: readonly Mechanism[] = [],
 ): Promise<ReplayFigures> {
-  // One after the other: they share the process's clock.
+  // Sequential, because replays share the process's fake clock.
   const figures = await seeds.reduce<Promise<ReplayFigures[]>>(
     async (before, seed) => [...(await before), await runReplay({ pattern, seed, absent })],
     Promise.resolve([]),
@@ -41,37 +41,38 @@
 });
 
 test.serial(
-  'answers much longer than prompts are not placed until they need each other’s memory',
+  'streams with responses much longer than prompts are not packed until memory overflows',
   async (t) => {
-    // Callers would see their streams pause while their prompts are read again. Answers of widely different lengths hold
-    // nearly all memory; a constant share of what is expected of each leaves no room for those that become long.
+    // Guards against streams that pause because they are preempted and their prompts read again. Responses of widely
+    // different lengths hold nearly all memory; reserving a constant share of each expected length leaves no room for
+    // long ones.
     const seeds = [1, 2];
     const forecast = await replay('mostlyOutput', seeds);
-    const plain = await replay('mostlyOutput', seeds, [mechanisms.memoryForecast]);
-    t.true(forecast.readInVainTokens < 0.6 * plain.readInVainTokens);
-    t.true(forecast.preempted < 0.5 * plain.preempted);
-    t.true(forecast.outcomes['on-time'] >= plain.outcomes['on-time']);
+    const constantShares = await replay('mostlyOutput', seeds, [mechanisms.memoryForecast]);
+    t.true(forecast.readInVainTokens < 0.6 * constantShares.readInVainTokens);
+    t.true(forecast.preempted < 0.5 * constantShares.preempted);
+    t.true(forecast.outcomes['on-time'] >= constantShares.outcomes['on-time']);
   },
 );
 
-test.serial('who is refused in a burst has not waited in vain', async (t) => {
-  // Callers would wait to the end of their patience for a place that the line in front of them takes.
+test.serial('requests refused in a burst are refused early', async (t) => {
+  // Guards against callers that wait until their timeout for memory that goes to the requests queued before them.
   const { refusals, heldMs, asked, outcomes } = await replay('burst', [1, 2, 3]);
   t.true(refusals > 0);
   t.true(heldMs < 800);
   t.true(outcomes['on-time'] > 0.88 * asked);
 });
 
-test.serial('who is refused in a burst finds a place when it comes back', async (t) => {
-  // A caller would be refused a second time: the burst that it was told to wait for still lasts, and it gives up.
+test.serial('a request refused in a burst is admitted on retry', async (t) => {
+  // Guards against a second refusal, after which callers give up: the retry delay must outlast the burst.
   const { refusals, refusedAgain } = await replay('burst', [1, 2, 3]);
   t.true(refusals > 20);
   t.true(refusedAgain < 0.25 * refusals);
 });
 
-test.serial('the largest prompts find room beside small ones', async (t) => {
-  // Callers with prompts near an engine's memory would be refused even at half of the fleet's capacity: small prompts
-  // spread over all engines leave on each too little for a large one.
+test.serial('the largest prompts are admitted alongside small ones', async (t) => {
+  // Guards against refusing prompts nearly as large as an engine's memory at half of the fleet's capacity: small prompts
+  // spread over all engines leave too little memory on each for a large one.
   const pattern = { ...patternOf('mixedSizes'), steps: [] };
   const { largestTenth, nextFifth } = await replayPattern(pattern, [1, 2, 3, 4]);
   t.true(largestTenth.served > 0.83 * largestTenth.asked);
@@ -79,18 +80,18 @@
 });
 
 test.serial(
-  'routers in parts do not place streams where they do not know who else does',
+  'routers of a shard do not place streams on engines of other shards, whose use they do not know',
   async (t) => {
-    // Callers' streams would pause in bursts: routers of a full part took engines of another for empty ones, and had one
-    // reservation in six turned away.
+    // Guards against preemptions in bursts: routers of a full shard took engines of another shard to be empty, and one in
+    // six of their reservations was rejected.
     const { preempted, turnedAway, reservationsAsked, asked } = await replay('partedFleet', [1]);
     t.true(preempted < 0.015 * asked);
     t.true(turnedAway < 0.05 * reservationsAsked);
   },
 );
 
-test.serial('callers that give no hints are served by what answers usually need', async (t) => {
-  // Callers would be refused beside engines that are half empty: their limits are ten times what they get.
+test.serial('requests without hints are placed by learned output lengths', async (t) => {
+  // Guards against refusals while engines are half empty: the limits of these requests are ten times the actual length.
   const seeds = [1, 2];
   const absent = [mechanisms.memoryForecast, mechanisms.learnedLengths];
   const learned = await replay('noHints', seeds);
@@ -100,13 +101,13 @@
 });
 
 test.serial(
-  'routers that do not hear each other place streams where others just have',
+  'routers without announcements from each other place streams on the same engines',
   async (t) => {
-    // Streams would be paused: each router sees room that the others have just given away.
+    // Shows the preemptions that announcements prevent: each router counts on memory that others have just taken.
     const seeds = [1, 2];
-    const heard = await replay('burst', seeds);
+    const announced = await replay('burst', seeds);
     const alone = await replay('burst', seeds, [mechanisms.peerNews]);
-    t.true(alone.preempted > 2 * heard.preempted);
-    t.true(alone.outcomes['on-time'] < heard.outcomes['on-time']);
+    t.true(alone.preempted > 2 * announced.preempted);
+    t.true(alone.outcomes['on-time'] < announced.outcomes['on-time']);
   },
 );
--- a/packages/replay/__tests__/serverLimits.test.ts
+++ b/packages/replay/__tests__/serverLimits.test.ts
@@ -21,26 +21,27 @@
   };
 }
 
-test('whatever befalls the routers, a server in need gets most of what it asked for, and no more than is tolerated', (t) => {
-  // Its requests would time out. The loads: floods, cuts, restarts, freezes, and a limit that falls.
+test('under faults of routers, an overloaded server gets most of the rate that it announced, and no more than is tolerated', (t) => {
+  // Guards against overload of the server, whose requests would time out. The loads: bursts, partitions, restarts,
+  // freezes, and a limit that drops.
   Object.entries(serverLimitLoads).forEach(([name, load]) => {
     const { worst, admittedShare } = replay(load);
-    t.true(worst <= 1, `${name}: ${worst} of what is tolerated`);
-    t.true(admittedShare > 0.75, `${name}: ${admittedShare} of what one account admits`);
+    t.true(worst <= 1, `${name}: ${worst} of the tolerated amount`);
+    t.true(admittedShare > 0.75, `${name}: ${admittedShare} of what one token bucket admits`);
   });
 });
 
-test('even shares pass a small limit in a large fleet, and one account does while routers are cut off', (t) => {
+test('even shares exceed a small limit in a large fleet, and a replicated token bucket does while routers are partitioned', (t) => {
   t.true(replay(serverLimitLoads.largeFleet, quotaWays.evenShares).worst > 2);
   t.true(replay(serverLimitLoads.allRestartWhileFlooded, quotaWays.evenShares).worst > 1);
   t.true(replay(serverLimitLoads.floodWhileCut, quotaWays.account).worst > 1);
 });
 
-/** What may befall a fleet while a server names a limit: all at once, at random. */
+/** A random combination of faults while a server announces a limit. */
 function randomLoad(seed: number): QuotaLoad {
   const random = createSeededRandom(seed);
-  const between = (least: number, most: number) => least + (most - least) * random();
-  const chosen = (steps: QuotaStep[]) => steps.filter(() => random() < 0.5);
+  const between = (min: number, max: number) => min + (max - min) * random();
+  const pickSome = (steps: QuotaStep[]) => steps.filter(() => random() < 0.5);
   const ratePerSecond = 0.3 * 200 ** random();
   return {
     ...serverLimitLoads.ordinary,
@@ -52,7 +53,7 @@
     lostShare: between(0, 0.05),
     steps: [
       { kind: 'demand', atMs: between(0, 12_000), forMs: 20_000, factor: between(2, 20) },
-      ...chosen([
+      ...pickSome([
         { kind: 'cut', atMs: between(0, 24_000), forMs: between(1_000, 9_000), share: 0.35 },
         { kind: 'split', atMs: between(0, 24_000), forMs: between(1_000, 9_000), groups: 2 },
         { kind: 'restart', atMs: between(0, 36_000), share: random() < 0.3 ? 1 : 0.3 },
@@ -65,7 +66,7 @@
   };
 }
 
-test('over random fleets no four seconds hold more than is tolerated', async (t) => {
+test('under random loads and faults no window of four seconds exceeds the tolerated amount', async (t) => {
   for (let seed = 1; seed <= 16; seed += 1) {
     const load = randomLoad(seed);
     const { worstWindowShare } = runQuotaReplay({ load, way: quotaWays.permits, seed });
--- a/packages/replay/src/caller.ts
+++ b/packages/replay/src/caller.ts
@@ -1,4 +1,4 @@
-/** One caller: asks, waits as long as callers do, comes back when told to, and notes how it went. */
+/** One simulated caller: sends a request, waits with a timeout, retries after a refusal, and records the outcome. */
 import type {
   ResponseWriter,
   CallerExchange,
@@ -11,9 +11,9 @@
 
 export type CallerOutcome = 'on-time' | 'late' | 'refused' | 'failed' | 'left';
 
-export interface CallerEnd {
+export interface CallerResult {
   outcome: CallerOutcome;
-  /** Of all tries that were refused, until they were. */
+  /** For each refused attempt, the time until the refusal. */
   heldMs: number[];
   kindName: string;
   promptTokens: number;
@@ -23,47 +23,50 @@
   kind: RequestKind;
   size: RequestSize;
   nextRequestId(): string;
-  /** Serves one try at a router. */
+  /** Serves one attempt at a router. */
   serve(exchange: CallerExchange): Promise<void>;
   noteRequest(requestId: string, size: RequestSize): void;
-  /** The caller leaves this long after it first asked. */
-  leavesAfterMs?: number;
-  /** It comes back at once, whatever it is told, this often. */
-  repeats?: number;
-  onEnd(end: CallerEnd): void;
+  /** The caller disconnects this long after each attempt began, unless an event has arrived by then. */
+  disconnectAfterMs?: number;
+  /** How many times it retries immediately, regardless of `retryAfterMs`; replaces the retries of its kind. */
+  immediateRetries?: number;
+  onEnd(end: CallerResult): void;
 }
 
-type TryEnd =
-  { kind: 'whole' } | { kind: 'refused'; refusal: Refusal } | { kind: 'cut' } | { kind: 'left' };
+type AttemptOutcome =
+  | { kind: 'complete' }
+  | { kind: 'refused'; refusal: Refusal }
+  | { kind: 'aborted' }
+  | { kind: 'left' };
 
-const leastPatienceMs = 2_000;
-const patienceTargets = 4;
-const patienceGaps = 8;
-/** Callers come back after this part of the time that they have left at the latest, whatever they are told. */
+const minEventTimeoutMs = 2_000;
+const eventTimeoutTargets = 4;
+const eventTimeoutGaps = 8;
+/** The longest pause before a retry, as a share of the time left, regardless of `retryAfterMs`. */
 const retryAfterShare = 1 / 3;
 
 export async function runCaller(options: CallerOptions): Promise<void> {
-  const { kind, repeats } = options;
+  const { kind, immediateRetries } = options;
   const firstAskedAtMs = monotonicNowMs();
   const endsAtMs = firstAskedAtMs + kind.timeoutMs;
-  const progress = createProgress(kind, firstAskedAtMs);
+  const progress = createProgressTracker(kind, firstAskedAtMs);
   const heldMs: number[] = [];
-  const tries = 1 + (repeats ?? kind.retries);
+  const maxAttempts = 1 + (immediateRetries ?? kind.retries);
   let outcome: CallerOutcome = 'failed';
-  for (let left = tries; left > 0; left -= 1) {
+  for (let attemptsLeft = maxAttempts; attemptsLeft > 0; attemptsLeft -= 1) {
     const askedAtMs = monotonicNowMs();
-    const end = await tryOnce(options, progress, endsAtMs);
-    outcome = outcomeOf(end, progress.isLate());
+    const end = await attempt(options, progress, endsAtMs);
+    outcome = resolveOutcome(end, progress.isLate());
     if (end.kind !== 'refused' || end.refusal.kind !== 'not-run') {
       break;
     }
     heldMs.push(monotonicNowMs() - askedAtMs);
-    if (left === 1) {
+    if (attemptsLeft === 1) {
       break;
     }
-    const longestPauseMs = (endsAtMs - monotonicNowMs()) * retryAfterShare;
-    const pauseMs = repeats === undefined ? end.refusal.retryAfterMs : 0;
-    await delay(Math.min(pauseMs, longestPauseMs));
+    const maxPauseMs = (endsAtMs - monotonicNowMs()) * retryAfterShare;
+    const pauseMs = immediateRetries === undefined ? end.refusal.retryAfterMs : 0;
+    await delay(Math.min(pauseMs, maxPauseMs));
   }
   options.onEnd({
     outcome,
@@ -73,57 +76,60 @@
   });
 }
 
-function outcomeOf(end: TryEnd, isLate: boolean): CallerOutcome {
+function resolveOutcome(end: AttemptOutcome, isLate: boolean): CallerOutcome {
   switch (end.kind) {
-    case 'whole':
+    case 'complete':
       return isLate ? 'late' : 'on-time';
     case 'refused':
       return end.refusal.kind === 'not-run' ? 'refused' : 'failed';
-    case 'cut':
+    case 'aborted':
       return 'failed';
     case 'left':
       return 'left';
   }
 }
 
-function createProgress({ targetMs, gapMs }: RequestKind, firstAskedAtMs: number) {
-  let firstMs: number | undefined;
-  let lastAtMs = 0;
-  let longestGapMs = 0;
+function createProgressTracker({ targetMs, gapMs }: RequestKind, firstAskedAtMs: number) {
+  let firstEventMs: number | undefined;
+  let lastEventAtMs = 0;
+  let maxGapMs = 0;
   return {
     note() {
       const nowMs = monotonicNowMs();
-      if (firstMs === undefined) {
-        firstMs = nowMs - firstAskedAtMs;
+      if (firstEventMs === undefined) {
+        firstEventMs = nowMs - firstAskedAtMs;
       } else {
-        longestGapMs = Math.max(longestGapMs, nowMs - lastAtMs);
+        maxGapMs = Math.max(maxGapMs, nowMs - lastEventAtMs);
       }
-      lastAtMs = nowMs;
+      lastEventAtMs = nowMs;
     },
-    isLate: () => (firstMs ?? Infinity) > targetMs || longestGapMs > gapMs,
+    isLate: () => (firstEventMs ?? Infinity) > targetMs || maxGapMs > gapMs,
   };
 }
 
-async function tryOnce(
+async function attempt(
   options: CallerOptions,
-  progress: ReturnType<typeof createProgress>,
+  progress: ReturnType<typeof createProgressTracker>,
   endsAtMs: number,
-): Promise<TryEnd> {
+): Promise<AttemptOutcome> {
   const { kind, size } = options;
   const requestId = options.nextRequestId();
   options.noteRequest(requestId, size);
-  const leaving = new AbortController();
-  const patienceMs = Math.max(
-    leastPatienceMs,
-    patienceTargets * kind.targetMs,
-    patienceGaps * kind.gapMs,
+  const disconnect = new AbortController();
+  const eventTimeoutMs = Math.max(
+    minEventTimeoutMs,
+    eventTimeoutTargets * kind.targetMs,
+    eventTimeoutGaps * kind.gapMs,
   );
-  let patience = setTimeout(() => leaving.abort(), options.leavesAfterMs ?? patienceMs);
-  let end: TryEnd = { kind: 'left' };
+  let eventTimer = setTimeout(
+    () => disconnect.abort(),
+    options.disconnectAfterMs ?? eventTimeoutMs,
+  );
+  let end: AttemptOutcome = { kind: 'left' };
   const note = () => {
     progress.note();
-    clearTimeout(patience);
-    patience = setTimeout(() => leaving.abort(), patienceMs);
+    clearTimeout(eventTimer);
+    eventTimer = setTimeout(() => disconnect.abort(), eventTimeoutMs);
   };
   const writer: ResponseWriter = {
     write() {
@@ -132,28 +138,28 @@
     },
     onDrained: () => undefined,
     end() {
-      end = { kind: 'whole' };
+      end = { kind: 'complete' };
     },
     abort() {
-      end = { kind: 'cut' };
+      end = { kind: 'aborted' };
     },
   };
   await options.serve({
-    request: requestOf(requestId, kind, size, endsAtMs),
-    signal: leaving.signal,
+    request: createRequest(requestId, kind, size, endsAtMs),
+    signal: disconnect.signal,
     respond() {
-      end = { kind: 'cut' };
+      end = { kind: 'aborted' };
     },
     refuse(refusal) {
       end = { kind: 'refused', refusal };
     },
     startResponse: () => writer,
   });
-  clearTimeout(patience);
-  return leaving.signal.aborted ? { kind: 'left' } : end;
+  clearTimeout(eventTimer);
+  return disconnect.signal.aborted ? { kind: 'left' } : end;
 }
 
-function requestOf(
+function createRequest(
   id: string,
   kind: RequestKind,
   { prompt }: RequestSize,
--- a/packages/replay/src/engineFleet.ts
+++ b/packages/replay/src/engineFleet.ts
@@ -1,4 +1,4 @@
-/** The engines of a replay as the router's backend servers: calls that take a moment on the way. */
+/** The engines of a replay as the router's backend servers, with simulated network delays. */
 import type { BackendResponse, BackendApi, CallOutcome } from '@bluebellhitch/routing';
 import { delay } from '@bluebellhitch/shared';
 import type { EngineModel } from './engineModel';
@@ -6,7 +6,7 @@
 export interface EngineFleetOptions {
   /** By server name. */
   engines: ReadonlyMap<string, EngineModel>;
-  /** Tokens of a request's answer, which neither router nor caller knows. */
+  /** Output tokens of a request, which neither router nor caller knows in advance. */
   outputTokensOf(requestId: string): number;
   tokensPerEvent: number;
 }
@@ -21,10 +21,9 @@
   reservations: ReservationCounts;
 }
 
-/** One way between a router and an engine. */
-const wayMs = 1;
-/** To fetch a prompt's memory from the engine that read it. */
-const transferMs = 2;
+const oneWayDelayMs = 1;
+/** Time to transfer a prompt's memory from the engine that prefilled it. */
+const prefillTransferMs = 2;
 
 const unreachable: CallOutcome<never> = {
   kind: 'not-run',
@@ -36,7 +35,7 @@
   const { engines, outputTokensOf, tokensPerEvent } = options;
   const reservations: ReservationCounts = { asked: 0, turnedAway: 0 };
 
-  function reach(server: { name: string; id: string }): EngineModel | undefined {
+  function findReachable(server: { name: string; id: string }): EngineModel | undefined {
     const engine = engines.get(server.name);
     return engine === undefined || engine.isDown() || engine.server().id !== server.id
       ? undefined
@@ -46,8 +45,8 @@
   const backend: BackendApi = {
     async reserve(server, { tokens, lifetimeMs }) {
       reservations.asked += 1;
-      await delay(2 * wayMs);
-      const engine = reach(server);
+      await delay(2 * oneWayDelayMs);
+      const engine = findReachable(server);
       if (engine === undefined) {
         return unreachable;
       }
@@ -58,34 +57,34 @@
       }
       return { kind: 'done', value: { id, server, tokens } };
     },
-    releaseReservation: ({ id, server }) => reach(server)?.dropReservation(id),
+    releaseReservation: ({ id, server }) => findReachable(server)?.dropReservation(id),
     async prefill(server, request, { signal, timeoutMs }) {
-      await delay(wayMs);
-      const engine = reach(server);
+      await delay(oneWayDelayMs);
+      const engine = findReachable(server);
       if (engine === undefined) {
         return unreachable;
       }
-      const givenUp = new AbortController();
-      const timer = setTimeout(() => givenUp.abort(), timeoutMs);
-      const either = AbortSignal.any([signal, givenUp.signal]);
+      const timeout = new AbortController();
+      const timer = setTimeout(() => timeout.abort(), timeoutMs);
+      const anySignal = AbortSignal.any([signal, timeout.signal]);
       const promptTokens = request.prompt?.promptTokens ?? 1;
-      const handle = await engine.prefill(promptTokens, either);
+      const handle = await engine.prefill(promptTokens, anySignal);
       clearTimeout(timer);
-      await delay(wayMs);
+      await delay(oneWayDelayMs);
       return handle === undefined
-        ? { kind: 'lost', detail: 'no answer', isOurs: either.aborted }
+        ? { kind: 'lost', detail: 'no answer', isOurs: anySignal.aborted }
         : { kind: 'done', value: { handle, server, tokens: promptTokens } };
     },
-    releasePrefill: ({ handle, server }) => reach(server)?.dropPrefill(handle),
+    releasePrefill: ({ handle, server }) => findReachable(server)?.discardPrefill(handle),
     async run(server, request, { signal, reservation, prefill, lastEventId = 0 }) {
-      await delay(wayMs);
-      const engine = reach(server);
+      await delay(oneWayDelayMs);
+      const engine = findReachable(server);
       if (engine === undefined) {
         return unreachable;
       }
       if (prefill !== undefined) {
-        await delay(transferMs);
-        if (reach(prefill.server)?.takePrefill(prefill.handle) !== true) {
+        await delay(prefillTransferMs);
+        if (findReachable(prefill.server)?.consumePrefill(prefill.handle) !== true) {
           return rejected;
         }
       }
@@ -98,11 +97,11 @@
         hasPrompt: prefill !== undefined,
         signal,
       });
-      return run === undefined ? rejected : { kind: 'done', value: answerOf(run) };
+      return run === undefined ? rejected : { kind: 'done', value: createResponse(run) };
     },
     async readLoad(server) {
-      await delay(2 * wayMs);
-      const engine = reach(server);
+      await delay(2 * oneWayDelayMs);
+      const engine = findReachable(server);
       return engine === undefined ? unreachable : { kind: 'done', value: engine.load() };
     },
     orderStage: () => Promise.resolve(rejected),
@@ -112,7 +111,7 @@
   return { backend, reservations };
 }
 
-function answerOf(run: { read: BackendResponse['body']['read'] }): BackendResponse {
+function createResponse(run: { read: BackendResponse['body']['read'] }): BackendResponse {
   return {
     status: 200,
     headers: [],
--- a/packages/replay/src/engineModel.ts
+++ b/packages/replay/src/engineModel.ts
@@ -1,6 +1,6 @@
 /**
- * One model engine in virtual time: the stand-in engine's batch and memory, with reservations, prefill results that
- * expire and reports that lag. It moves no bytes: sizes stand for contents.
+ * One model engine in virtual time: the stand-in engine's batch scheduler and memory, with reservations, prefill results
+ * that expire, and load reports that lag. It models sizes only, without any content.
  */
 import {
   createBatchScheduler,
@@ -18,37 +18,37 @@
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { EngineShape } from './pattern';
 
-/** What one run does at an engine. */
+/** One run of a request at an engine. */
 export interface ModelRun {
   requestId: string;
   promptTokens: number;
   outputTokens: number;
-  /** Tokens that the caller has from an earlier run. */
+  /** Tokens that the caller received from an earlier run. */
   emittedTokens: number;
   reservationId?: string;
-  /** The prompt was read elsewhere and is here already. */
+  /** The prompt was prefilled at another engine and its memory has been transferred. */
   hasPrompt: boolean;
   signal: AbortSignal;
 }
 
 export interface EngineCounts {
   preempted: number;
-  /** Read again after a preemption, or read for a result that nobody took. */
+  /** Prompt tokens read again after a preemption, or prefilled for a result that was never used. */
   readInVainTokens: number;
 }
 
 export interface EngineModel {
-  /** Another one after a crash. */
+  /** The engine as a backend server; its id changes after a crash. */
   server(): BackendServer;
   isDown(): boolean;
   reserve(tokens: number, lifetimeMs: number): string | undefined;
   dropReservation(id: string): void;
-  /** Resolves with a handle; undefined where the engine crashed or the caller left. */
+  /** Resolves with a handle, or undefined if the engine crashed or the signal was aborted. */
   prefill(promptTokens: number, signal: AbortSignal): Promise<string | undefined>;
-  /** Hands the prompt's memory over; false where it has expired. */
-  takePrefill(handle: string): boolean;
-  dropPrefill(handle: string): void;
-  /** Undefined where there is no memory or slot for it. */
+  /** Transfers the prompt's memory and frees it here; false if it has expired. */
+  consumePrefill(handle: string): boolean;
+  discardPrefill(handle: string): void;
+  /** Undefined if the memory of a transferred prompt does not fit. */
   run(run: ModelRun): { read(reader: BodyReader): void } | undefined;
   load(): EngineLoad;
   crash(forMs: number): void;
@@ -61,7 +61,7 @@
   serviceName: string;
   stage: BackendServer['stage'];
   shape: EngineShape;
-  /** The engine has started again as another server. */
+  /** Called when the engine has restarted, with a new server id. */
   onRestart(before: BackendServer, after: BackendServer): void;
 }
 
@@ -71,9 +71,9 @@
 }
 
 const prefillLifetimeMs = 500;
-const snapshotMs = 100;
-const decodePieceShare = 0.25;
-const decodeReadSpeed = 0.5;
+const snapshotIntervalMs = 100;
+const decodeChunkShare = 0.25;
+const decodePrefillSpeed = 0.5;
 const prefillBaseMs = 2;
 
 export function createEngineModel(options: EngineModelOptions): EngineModel {
@@ -81,17 +81,17 @@
   const counts: EngineCounts = { preempted: 0, readInVainTokens: 0 };
   const reservations = new Map<string, Reservation>();
   const prefills = new Map<string, { tokens: number; timer: NodeJS.Timeout }>();
-  const breakOffs = new Set<() => void>();
-  let lifeNumber = 1;
-  let nextNumber = 0;
+  const abortHandlers = new Set<() => void>();
+  let incarnation = 1;
+  let idCount = 0;
   let isDown = false;
   let ledger: KvLedger;
   let scheduler: BatchScheduler;
   let snapshots: { atMs: number; load: EngineLoad }[] = [];
-  beginLife();
-  const snapshotTimer = setInterval(takeSnapshot, snapshotMs);
+  startIncarnation();
+  const snapshotTimer = setInterval(takeSnapshot, snapshotIntervalMs);
 
-  function beginLife(): void {
+  function startIncarnation(): void {
     const isDecode = stage === stages.decode;
     ledger = createKvLedger(shape.memoryTokens);
     scheduler = createBatchScheduler({
@@ -101,8 +101,8 @@
       stepBaseMs: shape.stepMs,
       stepPerStreamMs: shape.stepPerStreamMs,
       prefillBaseMs,
-      prefillMsPerToken: 1 / (shape.readTokensPerMs * (isDecode ? decodeReadSpeed : 1)),
-      prefillChunkTokens: Math.ceil(shape.pieceTokens * (isDecode ? decodePieceShare : 1)),
+      prefillMsPerToken: 1 / (shape.readTokensPerMs * (isDecode ? decodePrefillSpeed : 1)),
+      prefillChunkTokens: Math.ceil(shape.pieceTokens * (isDecode ? decodeChunkShare : 1)),
       onStep: () => undefined,
     });
     snapshots = [];
@@ -110,7 +110,7 @@
 
   function server(): BackendServer {
     return {
-      id: `${name}~${lifeNumber}`,
+      id: `${name}~${incarnation}`,
       name,
       serviceName,
       address: `${name}:1`,
@@ -144,8 +144,8 @@
   function takeSnapshot(): void {
     const nowMs = monotonicNowMs();
     snapshots.push({ atMs: nowMs, load: currentLoad() });
-    const newestOld = snapshots.findLastIndex(({ atMs }) => nowMs - atMs >= shape.reportLagMs);
-    snapshots = snapshots.slice(Math.max(0, newestOld));
+    const newestDueIndex = snapshots.findLastIndex(({ atMs }) => nowMs - atMs >= shape.reportLagMs);
+    snapshots = snapshots.slice(Math.max(0, newestDueIndex));
   }
 
   function releaseReservation(id: string): number {
@@ -165,7 +165,7 @@
     }
   }
 
-  function newSequence(requestId: string, promptTokens: number): Sequence {
+  function createSequence(requestId: string, promptTokens: number): Sequence {
     return {
       attemptId: requestId,
       kind: 'decode',
@@ -193,20 +193,20 @@
   }
 
   function prefill(promptTokens: number, signal: AbortSignal): Promise<string | undefined> {
-    nextNumber += 1;
-    const handle = `${name}-${lifeNumber}-${nextNumber}`;
-    const sequence: Sequence = { ...newSequence(handle, promptTokens), kind: 'prefill' };
+    idCount += 1;
+    const handle = `${name}-${incarnation}-${idCount}`;
+    const sequence: Sequence = { ...createSequence(handle, promptTokens), kind: 'prefill' };
     return new Promise((resolve) => {
-      const giveUp = () => {
-        breakOffs.delete(giveUp);
+      const cancel = () => {
+        abortHandlers.delete(cancel);
         endSequence(sequence);
         resolve(undefined);
       };
-      breakOffs.add(giveUp);
-      signal.addEventListener('abort', giveUp, { once: true });
+      abortHandlers.add(cancel);
+      signal.addEventListener('abort', cancel, { once: true });
       sequence.onContextReady = () => {
-        signal.removeEventListener('abort', giveUp);
-        breakOffs.delete(giveUp);
+        signal.removeEventListener('abort', cancel);
+        abortHandlers.delete(cancel);
         const timer = setTimeout(() => expirePrefill(handle), prefillLifetimeMs);
         prefills.set(handle, { tokens: promptTokens, timer });
         resolve(handle);
@@ -216,28 +216,28 @@
   }
 
   function removePrefill(handle: string): number {
-    const kept = prefills.get(handle);
-    if (kept === undefined) {
+    const prefilled = prefills.get(handle);
+    if (prefilled === undefined) {
       return 0;
     }
-    clearTimeout(kept.timer);
+    clearTimeout(prefilled.timer);
     prefills.delete(handle);
-    ledger.give(kept.tokens);
+    ledger.give(prefilled.tokens);
     scheduler.wake();
-    return kept.tokens;
+    return prefilled.tokens;
   }
 
   function expirePrefill(handle: string): void {
     counts.readInVainTokens += removePrefill(handle);
   }
 
-  function run(wanted: ModelRun): ReturnType<EngineModel['run']> {
-    const { reservationId = '', promptTokens, emittedTokens } = wanted;
+  function run(modelRun: ModelRun): ReturnType<EngineModel['run']> {
+    const { reservationId = '', promptTokens, emittedTokens } = modelRun;
     releaseReservation(reservationId);
-    const sequence = newSequence(wanted.requestId, promptTokens);
+    const sequence = createSequence(modelRun.requestId, promptTokens);
     sequence.offset = emittedTokens;
-    sequence.endOffset = wanted.outputTokens;
-    if (wanted.hasPrompt) {
+    sequence.endOffset = modelRun.outputTokens;
+    if (modelRun.hasPrompt) {
       const heldTokens = promptTokens + emittedTokens;
       if (!ledger.take(heldTokens)) {
         return undefined;
@@ -245,19 +245,19 @@
       sequence.heldKvBytes = heldTokens;
       sequence.contextReady = true;
     }
-    return { read: (reader) => stream(sequence, wanted, reader) };
+    return { read: (reader) => stream(sequence, modelRun, reader) };
   }
 
   function stream(sequence: Sequence, { signal }: ModelRun, reader: BodyReader): void {
     let isPreempted = false;
-    const breakOff = (detail: string) => {
-      breakOffs.delete(crashed);
-      signal.removeEventListener('abort', leave);
+    const abortStream = (detail: string) => {
+      abortHandlers.delete(onCrash);
+      signal.removeEventListener('abort', onCallerAbort);
       endSequence(sequence);
       reader.onLost(detail);
     };
-    const crashed = () => breakOff('reset');
-    const leave = () => breakOff('given up');
+    const onCrash = () => abortStream('reset');
+    const onCallerAbort = () => abortStream('given up');
     sequence.onToken = (offset) => {
       const events = (offset + 1) / shape.tokensPerEvent;
       if (Number.isInteger(events) || offset + 1 === sequence.endOffset) {
@@ -272,13 +272,13 @@
       counts.readInVainTokens += isPreempted ? tokens : 0;
     };
     sequence.onFinished = () => {
-      breakOffs.delete(crashed);
-      signal.removeEventListener('abort', leave);
+      abortHandlers.delete(onCrash);
+      signal.removeEventListener('abort', onCallerAbort);
       endSequence(sequence);
       reader.onEnd();
     };
-    breakOffs.add(crashed);
-    signal.addEventListener('abort', leave, { once: true });
+    abortHandlers.add(onCrash);
+    signal.addEventListener('abort', onCallerAbort, { once: true });
     scheduler.submit(sequence);
   }
 
@@ -286,16 +286,16 @@
     const before = server();
     isDown = true;
     scheduler.stop();
-    [...breakOffs].forEach((breakOff) => breakOff());
-    breakOffs.clear();
+    [...abortHandlers].forEach((abort) => abort());
+    abortHandlers.clear();
     reservations.forEach(({ timer }) => clearTimeout(timer));
     reservations.clear();
     prefills.forEach(({ timer }) => clearTimeout(timer));
     prefills.clear();
     setTimeout(() => {
       isDown = false;
-      lifeNumber += 1;
-      beginLife();
+      incarnation += 1;
+      startIncarnation();
       options.onRestart(before, server());
     }, forMs);
   }
@@ -307,16 +307,16 @@
       if (scheduler.running().length + reservations.size >= shape.slots || !ledger.take(tokens)) {
         return undefined;
       }
-      nextNumber += 1;
-      const id = `${name}-${lifeNumber}-${nextNumber}`;
+      idCount += 1;
+      const id = `${name}-${incarnation}-${idCount}`;
       const timer = setTimeout(() => dropReservation(id), lifetimeMs);
       reservations.set(id, { tokens, timer });
       return id;
     },
     dropReservation,
     prefill,
-    takePrefill: (handle) => removePrefill(handle) > 0,
-    dropPrefill: expirePrefill,
+    consumePrefill: (handle) => removePrefill(handle) > 0,
+    discardPrefill: expirePrefill,
     run,
     load: () => snapshots[0]?.load ?? currentLoad(),
     crash,
--- a/packages/replay/src/mechanisms.ts
+++ b/packages/replay/src/mechanisms.ts
@@ -1,30 +1,30 @@
 /**
- * Mechanisms that a replay can do without, to show what each is worth. The router has no switches for them: the replay
- * puts something plainer into their place.
+ * Mechanisms that a replay can leave out, to measure the effect of each. The router has no switches for them: the replay
+ * substitutes something simpler.
  */
 import type { MemoryForecast } from '@bluebellhitch/decisions';
 import type { StreamEstimate } from '@bluebellhitch/protocol';
 import type { EngineLoads, StreamSizes } from '@bluebellhitch/routing';
 
 export const mechanisms = {
-  /** Memory by a forecast; without it three quarters of each expected answer count from its begin to its end. */
+  /** Forecast of engine memory; without it each stream counts with three quarters of its expected output throughout. */
   memoryForecast: 'memory-forecast',
-  /** Lengths learned from answers; without it callers' hints are taken as they are. */
+  /** Output lengths learned from responses; without it callers' hints are used unchanged. */
   learnedLengths: 'learned-lengths',
-  /** What other routers have in progress. */
+  /** Announcements of other routers' streams in progress. */
   peerNews: 'peer-news',
-  /** The engines' own reports. */
+  /** Load reports of the engines. */
   loadReports: 'load-reports',
-  /** Engines that only read prompts; without it all decode and read their own. */
+  /** Separate prefill engines; without them all engines decode and prefill locally. */
   readingApart: 'reading-apart',
-  /** Going on elsewhere after a break. */
+  /** Resumption of an interrupted stream at another engine. */
   resumption: 'resumption',
 } as const;
 export type Mechanism = (typeof mechanisms)[keyof typeof mechanisms];
 
-const plainShare = 0.75;
+const countedOutputShare = 0.75;
 
-/** Takes callers' hints as they are. */
+/** Replaces learned output lengths by callers' hints. */
 export function withHintsOnly(sizes: StreamSizes): StreamSizes {
   return {
     ...sizes,
@@ -38,23 +38,26 @@
   };
 }
 
-/** Counts a constant share of each stream's expected memory, whatever it holds now. */
-export function withPlainSums(loads: EngineLoads): EngineLoads {
+/** Replaces the memory forecast by a constant share of each stream's expected output, regardless of its current use. */
+export function withConstantShares(loads: EngineLoads): EngineLoads {
   const own = new Map<string, Set<StreamEstimate>>();
-  const told = new Map<string, Map<string, readonly StreamEstimate[]>>();
+  const peerUses = new Map<string, Map<string, readonly StreamEstimate[]>>();
 
   function streamsAt(serverId: string): StreamEstimate[] {
-    const peers = [...told.values()].flatMap((engines) => engines.get(serverId) ?? []);
+    const peers = [...peerUses.values()].flatMap((engines) => engines.get(serverId) ?? []);
     return [...(own.get(serverId) ?? []), ...peers];
   }
 
   function forecast(serverId: string, capacityTokens: number): MemoryForecast {
-    let free = streamsAt(serverId).reduce((left, stream) => left - needOf(stream), capacityTokens);
+    let freeTokens = streamsAt(serverId).reduce(
+      (left, stream) => left - countedTokens(stream),
+      capacityTokens,
+    );
     return {
-      freeTokens: () => free,
-      freeTokensWith: (stream) => free - needOf(stream),
+      freeTokens: () => freeTokens,
+      freeTokensWith: (stream) => freeTokens - countedTokens(stream),
       add(stream) {
-        free -= needOf(stream);
+        freeTokens -= countedTokens(stream);
       },
     };
   }
@@ -75,14 +78,14 @@
       };
     },
     setPeerUse(address, engines, isFull) {
-      const known = isFull ? new Map() : (told.get(address) ?? new Map());
+      const known = isFull ? new Map() : (peerUses.get(address) ?? new Map());
       engines.forEach(({ serverId, streams }) => known.set(serverId, streams));
-      told.set(address, known);
+      peerUses.set(address, known);
       loads.setPeerUse(address, engines, isFull);
     },
   };
 }
 
-function needOf({ promptTokens, medianOutputTokens }: StreamEstimate): number {
-  return promptTokens + plainShare * medianOutputTokens;
+function countedTokens({ promptTokens, medianOutputTokens }: StreamEstimate): number {
+  return promptTokens + countedOutputShare * medianOutputTokens;
 }
--- a/packages/replay/src/pattern.ts
+++ b/packages/replay/src/pattern.ts
@@ -1,68 +1,77 @@
-/** A pattern of load and faults that is replayed, as a small checked YAML document. */
+/** The YAML format of a replay pattern: engines, kinds of requests, and steps of load and faults. */
 import { err, ok, type Result } from 'neverthrow';
 import { parse } from 'yaml';
 import * as z from 'zod';
 import type { Finding } from '@bluebellhitch/shared';
 
-const positive = z.number().positive();
+const positiveNumber = z.number().positive();
 const share = z.number().min(0).max(1);
-const count = z.number().int().positive();
+const positiveInteger = z.number().int().positive();
 
-/** Log-normal, cut at `most`; `spread` is the standard deviation of its logarithm. */
-const sizeSchema = z.strictObject({ median: positive, spread: z.number().min(0), most: positive });
+/** A log-normal distribution, capped at `most`; `spread` is the standard deviation of the logarithm. */
+const sizeSchema = z.strictObject({
+  median: positiveNumber,
+  spread: z.number().min(0),
+  most: positiveNumber,
+});
 
 const engineSchema = z.strictObject({
-  decode: count,
+  decode: positiveInteger,
   prefill: z.number().int().min(0),
-  memoryTokens: count,
-  slots: count,
-  stepMs: positive,
+  memoryTokens: positiveInteger,
+  slots: positiveInteger,
+  stepMs: positiveNumber,
   stepPerStreamMs: z.number().min(0),
-  /** Of a prefill engine; a decode engine reads at half the speed, in pieces of a quarter. */
-  readTokensPerMs: positive,
-  pieceTokens: count,
-  tokensPerEvent: count,
+  /** Prefill speed of a prefill engine; a decode engine prefills at half the speed, in chunks a quarter as large. */
+  readTokensPerMs: positiveNumber,
+  pieceTokens: positiveInteger,
+  tokensPerEvent: positiveInteger,
   reportLagMs: z.number().min(0),
-  /** How many times as long each step and prompt takes, of the engines by turns. */
-  slowness: z.array(positive).min(1).default([1]),
+  /** Factors on the time of each step and prefill, assigned to the engines in rotation. */
+  slowness: z.array(positiveNumber).min(1).default([1]),
 });
 
 const kindSchema = z.strictObject({
   name: z.string().min(1),
-  ratePerSecond: positive,
+  ratePerSecond: positiveNumber,
   promptTokens: sizeSchema,
   outputTokens: sizeSchema,
-  /** Standard deviation of the logarithm of a hint's error; without it callers give no hints. */
+  /** Standard deviation of the logarithm of a hint's error; if absent, callers send no hints. */
   hintSpread: z.number().min(0).optional(),
-  targetMs: positive,
-  gapMs: positive,
-  timeoutMs: positive,
+  targetMs: positiveNumber,
+  gapMs: positiveNumber,
+  timeoutMs: positiveNumber,
   priority: z.number().int().min(0).default(1),
   allowsResume: z.boolean().default(false),
-  /** Times that a refused caller comes back. */
+  /** How many times a refused caller retries. */
   retries: z.number().int().min(0).default(1),
 });
 
-const moment = { atS: z.number().min(0) };
-const span = { ...moment, forS: positive };
+const startTime = { atS: z.number().min(0) };
+const period = { ...startTime, forS: positiveNumber };
 const stepSchema = z.discriminatedUnion('kind', [
-  /** So many times the rate of one kind of requests, or of all. */
-  z.strictObject({ kind: z.literal('rate'), ...span, factor: positive, of: z.string().optional() }),
-  /** A share of the decode engines crash and come back empty. */
-  z.strictObject({ kind: z.literal('engines-lost'), ...span, share }),
-  /** All routers lose what they know and what they serve. */
-  z.strictObject({ kind: z.literal('routers-restart'), ...moment }),
-  /** A share of the callers leave after this long. */
-  z.strictObject({ kind: z.literal('callers-leave'), ...span, share, afterMs: positive }),
-  /** A share of the callers come back at once, whatever they are told, this often. */
-  z.strictObject({ kind: z.literal('callers-repeat'), ...span, share, times: count }),
+  /** Multiplies the request rate of one kind, or of all kinds. */
+  z.strictObject({
+    kind: z.literal('rate'),
+    ...period,
+    factor: positiveNumber,
+    of: z.string().optional(),
+  }),
+  /** A share of the decode engines crash and restart with empty memory. */
+  z.strictObject({ kind: z.literal('engines-lost'), ...period, share }),
+  /** All routers restart and lose their state and the requests in progress. */
+  z.strictObject({ kind: z.literal('routers-restart'), ...startTime }),
+  /** A share of the callers disconnect after this time. */
+  z.strictObject({ kind: z.literal('callers-leave'), ...period, share, afterMs: positiveNumber }),
+  /** A share of the callers retry immediately up to `times` times, ignoring `Retry-After`. */
+  z.strictObject({ kind: z.literal('callers-repeat'), ...period, share, times: positiveInteger }),
 ]);
 
 const patternSchema = z.strictObject({
   about: z.string().min(1),
-  seconds: positive,
-  routers: count,
-  /** On the way of a datagram between routers. */
+  seconds: positiveNumber,
+  routers: positiveInteger,
+  /** One-way delay of a datagram between routers. */
   peerDelayMs: z.number().min(0),
   engines: engineSchema,
   kinds: z.array(kindSchema).min(1),
@@ -75,6 +84,7 @@
 export type LoadStep = z.infer<typeof stepSchema>;
 export type LoadPattern = z.infer<typeof patternSchema>;
 
+/** Parses and checks a pattern; errors carry the path of each invalid value. */
 export function parsePattern(text: string): Result<LoadPattern, Finding[]> {
   let value: unknown;
   try {
--- a/packages/replay/src/quota/quotaLoad.ts
+++ b/packages/replay/src/quota/quotaLoad.ts
@@ -1,51 +1,53 @@
-/** A load for one workspace's quota: how many routers, what callers ask, and what befalls the routers meanwhile. */
+/** A simulated load on one workspace's quota: routers, demand of callers, and faults of the routers. */
 import type { QuotaSlack } from '@bluebellhitch/decisions';
 
 export type QuotaStep =
-  /** So many times as much is asked. */
+  /** Multiplies the demand. */
   | { kind: 'demand'; atMs: number; forMs: number; factor: number }
-  /** A share of the routers hear nobody and are heard by nobody. */
+  /** A share of the routers are partitioned from all others. */
   | { kind: 'cut'; atMs: number; forMs: number; share: number }
-  /** The routers fall into so many groups that do not hear each other. */
+  /** The routers are partitioned into groups that cannot reach each other. */
   | { kind: 'split'; atMs: number; forMs: number; groups: number }
-  /** A share of the routers start anew, and know nothing. */
+  /** A share of the routers restart without state. */
   | { kind: 'restart'; atMs: number; share: number }
-  /** A share of the routers stand still; what reaches them waits. */
+  /** A share of the routers freeze; datagrams to them are queued. */
   | { kind: 'pause'; atMs: number; forMs: number; share: number }
-  /** Rate and burst are so many times those of before. */
+  /** Multiplies the rate and burst that applied at the start. */
   | { kind: 'limit'; atMs: number; factor: number };
 
 export interface QuotaLoad {
   routers: number;
-  /** Of all callers' requests, those that come to one router. */
+  /** Share of all requests that go to one fixed router; the others go to random routers. */
   shareAtOne: number;
   seconds: number;
   ratePerSecond: number;
   burst: number;
   slack: QuotaSlack;
-  /** Asked on average, over the rate. */
+  /** Average demand divided by the rate. */
   demand: number;
   cost: { least: number; most: number };
-  /** On the way of a datagram, and the part that is lost. */
+  /** Mean one-way delay of a datagram. */
   delayMs: number;
+  /** Share of datagrams that are lost. */
   lostShare: number;
   steps: readonly QuotaStep[];
 }
 
-export function isAt(step: { atMs: number; forMs: number }, nowMs: number): boolean {
+export function isActiveAt(step: { atMs: number; forMs: number }, nowMs: number): boolean {
   return nowMs >= step.atMs && nowMs < step.atMs + step.forMs;
 }
 
+/** Demand in cost units per second. */
 export function demandAt({ ratePerSecond, demand, steps }: QuotaLoad, nowMs: number): number {
   const factor = steps.reduce(
     (product, step) =>
-      step.kind === 'demand' && isAt(step, nowMs) ? product * step.factor : product,
+      step.kind === 'demand' && isActiveAt(step, nowMs) ? product * step.factor : product,
     1,
   );
   return ratePerSecond * demand * factor;
 }
 
-/** Rate and burst in force, over those at the start. */
+/** Current rate and burst divided by those at the start. */
 export function limitFactorAt({ steps }: QuotaLoad, nowMs: number): number {
   return steps.reduce(
     (factor, step) => (step.kind === 'limit' && nowMs >= step.atMs ? step.factor : factor),
--- a/packages/replay/src/quota/quotaLoads.ts
+++ b/packages/replay/src/quota/quotaLoads.ts
@@ -1,7 +1,7 @@
-/** Loads for quotas, each with what it is for: of the size of the users' deployment with workspaces. */
+/** Loads for quota replays, sized like the users' deployment with workspaces. */
 import type { QuotaLoad, QuotaStep } from './quotaLoad';
 
-/** A quota of 48,000 tokens a second before 24 routers, a little more than half of it asked for. */
+/** A quota of 48,000 tokens per second across 24 routers; demand is a little more than half of it. */
 export const ordinaryQuotaLoad: QuotaLoad = {
   routers: 24,
   shareAtOne: 0,
@@ -21,7 +21,7 @@
 
 export const quotaLoads = {
   ordinary: ordinaryQuotaLoad,
-  /** Few callers: seven requests in ten come to one router. */
+  /** Few callers: seven of ten requests go to one router. */
   atOneRouter: { ...ordinaryQuotaLoad, shareAtOne: 0.7 },
   flood: withSteps(flood),
   floodWhileCut: withSteps(flood, { kind: 'cut', atMs: 3_000, forMs: 12_000, share: 0.35 }),
@@ -37,14 +37,14 @@
   ),
   allRestartWhileFlooded: withSteps(flood, { kind: 'restart', atMs: 10_000, share: 1 }),
   pausesWhileFlooded: withSteps(flood, { kind: 'pause', atMs: 8_000, forMs: 4_000, share: 0.3 }),
-  /** The limit falls far below what is asked. */
+  /** The limit drops far below the demand. */
   limitFalls: withSteps({ kind: 'limit', atMs: 6_000, factor: 0.15 }),
   cutInOrdinaryLoad: withSteps({ kind: 'cut', atMs: 8_000, forMs: 8_000, share: 0.35 }),
 } as const satisfies Record<string, QuotaLoad>;
 
 /**
- * A backend server that takes two requests a second from all routers together, asked for three times as many. In four
- * seconds half as many again are tolerated, and five.
+ * A backend server with a limit of two requests per second from all routers together, at three times that demand. The
+ * tolerance per four seconds is half the limit plus five requests: `burst` with its overage, 1.5, and `slack.amount`.
  */
 const serverLimitLoad: QuotaLoad = {
   routers: 24,
@@ -65,7 +65,7 @@
 export const serverLimitLoads = {
   fourRouters: limited({ routers: 4 }),
   ordinary: limited(),
-  /** Hardly more is asked than the server takes. */
+  /** Demand is below the server's limit. */
   littleDemand: limited({ demand: 0.8 }),
   largeFleet: limited({ routers: 359, demand: 6 }),
   flood: limited({ steps: [serverFlood] }),
--- a/packages/replay/src/quota/quotaReplay.ts
+++ b/packages/replay/src/quota/quotaReplay.ts
@@ -1,8 +1,8 @@
-/** Replays a load for one workspace's quota before a fleet of routers that keep it in one of several ways. */
+/** Replays a load on one workspace's quota, enforced by a fleet of routers with one of several strategies. */
 import { createSeededRandom, rotateRandomly, type Random } from '@bluebellhitch/shared';
 import type { QuotaAnnouncement } from '@bluebellhitch/decisions';
-import { demandAt, isAt, limitFactorAt, type QuotaLoad, type QuotaStep } from './quotaLoad';
-import { createQuotaKeeper, type QuotaKeeper, type QuotaWay } from './quotaWays';
+import { demandAt, isActiveAt, limitFactorAt, type QuotaLoad, type QuotaStep } from './quotaLoad';
+import { createQuotaLimiter, type QuotaLimiter, type QuotaWay } from './quotaStrategies';
 
 export interface QuotaReplayOptions {
   load: QuotaLoad;
@@ -13,27 +13,28 @@
 export interface QuotaFigures {
   asked: number;
   admitted: number;
-  /** Of what one account that all routers shared at once would admit: what was admitted of the same requests. */
+  /** Cost that one token bucket shared by all routers without delay would admit. */
   owed: number;
+  /** The part of `owed` that was admitted. */
   owedAdmitted: number;
-  /** The window in which most was admitted, over what is allowed in it. */
+  /** Cost admitted in the worst window, divided by the cost allowed in it. */
   worstWindowShare: number;
   datagrams: number;
 }
 
 interface Datagram {
   arrivesAtMs: number;
-  news: QuotaAnnouncement;
+  announcement: QuotaAnnouncement;
 }
 
 interface Router {
   address: string;
-  life: string;
-  keeper: QuotaKeeper;
+  incarnation: string;
+  limiter: QuotaLimiter;
   inbox: Datagram[];
-  /** Lives of others that were told what is left. */
-  greeted: Set<string>;
-  beatAtMs: number;
+  /** Incarnations of other routers that have been sent this router's uses. */
+  greetedIncarnations: Set<string>;
+  nextHeartbeatAtMs: number;
   factor: number;
 }
 
@@ -42,56 +43,69 @@
   cost: number;
 }
 
-/** As large as a part of a fleet may be: only routers of one part tell each other. */
-const mostInPart = 40;
+/** Maximum size of a shard: only routers of the same shard exchange announcements. */
+const maxRoutersPerShard = 40;
 const tickMs = 5;
-const mostAsked = 2;
+const maxIssuersAsked = 2;
 const heartbeatMs = 1_000;
 const msPerSecond = 1_000;
 
 export function runQuotaReplay({ load, way, seed }: QuotaReplayOptions): QuotaFigures {
   const random = createSeededRandom(seed);
   const addresses = Array.from({ length: load.routers }, (_none, n) => `r${n}`);
-  const partCount = Math.ceil(load.routers / mostInPart);
-  const parts = Array.from({ length: partCount }, (_none, part) =>
-    addresses.filter((_address, at) => at % partCount === part),
+  const shardCount = Math.ceil(load.routers / maxRoutersPerShard);
+  const shards = Array.from({ length: shardCount }, (_none, shard) =>
+    addresses.filter((_address, at) => at % shardCount === shard),
   );
-  const partOf = (address: string) =>
-    parts[Number(address.slice(1)) % partCount] as readonly string[];
-  const befallen = createChoices(load, addresses, random);
-  const ideal = createIdealAccount(load);
+  const shardOf = (address: string) =>
+    shards[Number(address.slice(1)) % shardCount] as readonly string[];
+  const faults = createFaults(load, addresses, random);
+  const takeFromIdealBucket = createIdealBucket(load);
   const admissions: Admission[] = [];
   const figures = { asked: 0, admitted: 0, owed: 0, owedAdmitted: 0, datagrams: 0 };
   const routers = addresses.map((address) => startRouter(address, 0));
-  let owing = 0;
+  let dueRequests = 0;
 
   function startRouter(address: string, nowMs: number): Router {
-    const keeper = createQuotaKeeper(way, {
+    const limiter = createQuotaLimiter(way, {
       nowMs,
       slack: load.slack,
-      routers: partOf(address),
+      routers: shardOf(address),
       allRouters: addresses,
       ownAddress: address,
       random,
     });
     const factor = limitFactorAt(load, nowMs);
-    keeper.setLimit(limitOf(load, factor), nowMs);
-    const life = `${address}-${nowMs}`;
-    const beatAtMs = nowMs + random() * heartbeatMs;
-    return { address, life, keeper, inbox: [], greeted: new Set(), beatAtMs, factor };
+    limiter.setLimit(limitOf(load, factor), nowMs);
+    const incarnation = `${address}-${nowMs}`;
+    const nextHeartbeatAtMs = nowMs + random() * heartbeatMs;
+    return {
+      address,
+      incarnation,
+      limiter,
+      inbox: [],
+      greetedIncarnations: new Set(),
+      nextHeartbeatAtMs,
+      factor,
+    };
   }
 
-  function tell(router: Router, nowMs: number, to?: string): void {
-    const { address, life, keeper } = router;
-    const isYoung = keeper.isYoung(nowMs);
-    const news = { router: address, life, isYoung, uses: keeper.tell(nowMs) };
-    (to === undefined ? partOf(address) : [to])
-      .filter((other) => other !== address && befallen.hear(address, other, nowMs))
+  function announce(router: Router, nowMs: number, to?: string): void {
+    const { address, incarnation, limiter } = router;
+    const isYoung = limiter.isWarmingUp(nowMs);
+    const announcement = {
+      router: address,
+      life: incarnation,
+      isYoung,
+      uses: limiter.collectUses(nowMs),
+    };
+    (to === undefined ? shardOf(address) : [to])
+      .filter((other) => other !== address && faults.canReach(address, other, nowMs))
       .filter(() => random() >= load.lostShare)
       .forEach((other) => {
         figures.datagrams += 1;
         const arrivesAtMs = nowMs + load.delayMs * (0.5 + random());
-        routerAt(other).inbox.push({ arrivesAtMs, news });
+        routerAt(other).inbox.push({ arrivesAtMs, announcement });
       });
   }
 
@@ -103,37 +117,38 @@
     }
     const due = router.inbox.filter(({ arrivesAtMs }) => arrivesAtMs <= nowMs);
     router.inbox = router.inbox.filter(({ arrivesAtMs }) => arrivesAtMs > nowMs);
-    due.forEach(({ news }) => {
-      router.keeper.hear(news, nowMs);
-      if (!router.greeted.has(news.life)) {
-        router.greeted.add(news.life);
-        tell(router, nowMs, news.router);
+    due.forEach(({ announcement }) => {
+      router.limiter.applyRemote(announcement, nowMs);
+      if (!router.greetedIncarnations.has(announcement.life)) {
+        router.greetedIncarnations.add(announcement.life);
+        announce(router, nowMs, announcement.router);
       }
     });
   }
 
-  /** Each question and each answer may be lost. */
-  function askIssuers({ address, keeper }: Router, nowMs: number): boolean {
-    const issuers = keeper.issuers?.(nowMs) ?? [];
+  /** Each permit request and each response may be lost. */
+  function askIssuers({ address, limiter }: Router, nowMs: number): boolean {
+    const issuers = limiter.issuers?.(nowMs) ?? [];
     return rotateRandomly(issuers, random)
-      .slice(0, mostAsked)
+      .slice(0, maxIssuersAsked)
       .some((issuer) => {
-        const isHeard = befallen.hear(address, issuer, nowMs) && !befallen.isPaused(issuer, nowMs);
+        const isReachable =
+          faults.canReach(address, issuer, nowMs) && !faults.isPaused(issuer, nowMs);
         figures.datagrams += 2;
         return (
-          isHeard &&
+          isReachable &&
           random() >= load.lostShare &&
-          routerAt(issuer).keeper.grant?.(nowMs) === true &&
+          routerAt(issuer).limiter.grant?.(nowMs) === true &&
           random() >= load.lostShare
         );
       });
   }
 
-  function request(router: Router, nowMs: number): void {
+  function handleRequest(router: Router, nowMs: number): void {
     const { least, most } = load.cost;
     const cost = Math.round(least + (most - least) * random());
-    const isOwed = ideal(cost, nowMs);
-    const isAdmitted = router.keeper.take(cost, nowMs) || askIssuers(router, nowMs);
+    const isOwed = takeFromIdealBucket(cost, nowMs);
+    const isAdmitted = router.limiter.take(cost, nowMs) || askIssuers(router, nowMs);
     figures.asked += cost;
     figures.owed += isOwed ? cost : 0;
     if (isAdmitted) {
@@ -141,40 +156,40 @@
       figures.owedAdmitted += isOwed ? cost : 0;
       admissions.push({ atMs: nowMs, cost });
     }
-    if (router.keeper.isUrgent(nowMs)) {
-      tell(router, nowMs);
+    if (router.limiter.isUrgent(nowMs)) {
+      announce(router, nowMs);
     }
   }
 
   function step(nowMs: number): void {
-    befallen.restartedAt(nowMs).forEach((address) => {
+    faults.restartsAt(nowMs).forEach((address) => {
       const at = addresses.indexOf(address);
       routers[at] = startRouter(address, nowMs);
     });
-    const awake = befallen.isAnyPaused(nowMs)
-      ? routers.filter(({ address }) => !befallen.isPaused(address, nowMs))
+    const runningRouters = faults.isAnyPaused(nowMs)
+      ? routers.filter(({ address }) => !faults.isPaused(address, nowMs))
       : routers;
     const meanCost = (load.cost.least + load.cost.most) / 2;
-    owing += (demandAt(load, nowMs) * tickMs) / msPerSecond / meanCost;
-    // A router that wakes may take a request before it reads what has come meanwhile.
-    while (owing >= 1) {
-      owing -= 1;
+    dueRequests += (demandAt(load, nowMs) * tickMs) / msPerSecond / meanCost;
+    // A router that resumes after a pause can handle a request before it reads its queued datagrams.
+    while (dueRequests >= 1) {
+      dueRequests -= 1;
       const at = random() < load.shareAtOne ? 0 : Math.floor(random() * routers.length);
       const router = routers[at];
-      if (router !== undefined && !befallen.isPaused(router.address, nowMs)) {
-        request(router, nowMs);
+      if (router !== undefined && !faults.isPaused(router.address, nowMs)) {
+        handleRequest(router, nowMs);
       }
     }
-    awake.forEach((router) => {
+    runningRouters.forEach((router) => {
       readInbox(router, nowMs);
       const factor = limitFactorAt(load, nowMs);
       if (factor !== router.factor) {
         router.factor = factor;
-        router.keeper.setLimit(limitOf(load, factor), nowMs);
+        router.limiter.setLimit(limitOf(load, factor), nowMs);
       }
-      if (nowMs >= router.beatAtMs) {
-        router.beatAtMs = nowMs + heartbeatMs;
-        tell(router, nowMs);
+      if (nowMs >= router.nextHeartbeatAtMs) {
+        router.nextHeartbeatAtMs = nowMs + heartbeatMs;
+        announce(router, nowMs);
       }
     });
   }
@@ -182,22 +197,22 @@
   for (let nowMs = 0; nowMs < load.seconds * msPerSecond; nowMs += tickMs) {
     step(nowMs);
   }
-  return { ...figures, worstWindowShare: worstWindow(load, admissions) };
+  return { ...figures, worstWindowShare: maxWindowShare(load, admissions) };
 }
 
 function limitOf({ ratePerSecond, burst }: QuotaLoad, factor: number) {
   return { ratePerSecond: ratePerSecond * factor, burst: burst * factor };
 }
 
-/** Which routers each step befalls. */
-function createChoices(load: QuotaLoad, addresses: readonly string[], random: Random) {
-  const chosen = load.steps.map((step) => {
+/** Draws which routers each step affects. */
+function createFaults(load: QuotaLoad, addresses: readonly string[], random: Random) {
+  const affected = load.steps.map((step) => {
     const share = 'share' in step ? step.share : 0;
     return { step, routers: new Set(addresses.filter(() => random() < share)) };
   });
   const groupOf = new Map(addresses.map((address) => [address, random()]));
 
-  function isApart(step: QuotaStep, routers: Set<string>, from: string, to: string): boolean {
+  function isSeparated(step: QuotaStep, routers: Set<string>, from: string, to: string): boolean {
     switch (step.kind) {
       case 'cut':
         return routers.has(from) || routers.has(to);
@@ -210,18 +225,20 @@
     }
   }
 
-  const now = (nowMs: number) => chosen.filter(({ step }) => 'forMs' in step && isAt(step, nowMs));
+  const activeSteps = (nowMs: number) =>
+    affected.filter(({ step }) => 'forMs' in step && isActiveAt(step, nowMs));
 
   return {
-    hear: (from: string, to: string, nowMs: number) =>
-      !now(nowMs).some(({ step, routers }) => isApart(step, routers, from, to)),
-    isAnyPaused: (nowMs: number) => now(nowMs).some(({ step }) => step.kind === 'pause'),
+    canReach: (from: string, to: string, nowMs: number) =>
+      !activeSteps(nowMs).some(({ step, routers }) => isSeparated(step, routers, from, to)),
+    isAnyPaused: (nowMs: number) => activeSteps(nowMs).some(({ step }) => step.kind === 'pause'),
     isPaused: (address: string, nowMs: number) =>
-      chosen.some(
-        ({ step, routers }) => step.kind === 'pause' && isAt(step, nowMs) && routers.has(address),
+      affected.some(
+        ({ step, routers }) =>
+          step.kind === 'pause' && isActiveAt(step, nowMs) && routers.has(address),
       ),
-    restartedAt: (nowMs: number) =>
-      chosen.flatMap(({ step, routers }) =>
+    restartsAt: (nowMs: number) =>
+      affected.flatMap(({ step, routers }) =>
         step.kind === 'restart' && step.atMs >= nowMs && step.atMs < nowMs + tickMs
           ? [...routers]
           : [],
@@ -229,8 +246,8 @@
   };
 }
 
-/** What one account for all would say, without any delay. */
-function createIdealAccount(load: QuotaLoad): (cost: number, nowMs: number) => boolean {
+/** Decides as one token bucket shared by all routers without delay. */
+function createIdealBucket(load: QuotaLoad): (cost: number, nowMs: number) => boolean {
   let level = load.burst;
   let filledAtMs = 0;
   return (cost, nowMs) => {
@@ -245,8 +262,8 @@
   };
 }
 
-/** A lower limit binds from one window after it is in force. */
-function worstWindow(load: QuotaLoad, admissions: readonly Admission[]): number {
+/** A lowered limit is enforced from one window after it applies. */
+function maxWindowShare(load: QuotaLoad, admissions: readonly Admission[]): number {
   const { windowMs, overageShare, amount } = load.slack;
   let sum = 0;
   let first = 0;
--- a/packages/replay/src/replayFigures.ts
+++ b/packages/replay/src/replayFigures.ts
@@ -1,9 +1,9 @@
-/** What a replay is judged by, and its sums over seeds. */
-import type { CallerEnd, CallerOutcome } from './caller';
+/** The figures of a replay, and their sums over seeds. */
+import type { CallerResult, CallerOutcome } from './caller';
 import type { ReservationCounts } from './engineFleet';
 import type { EngineModel } from './engineModel';
 
-/** Callers of one range of sizes, and how many of them got an answer, on time or late. */
+/** Callers with prompts in one range of sizes, and how many of them got a response, on time or late. */
 export interface ServedCount {
   asked: number;
   served: number;
@@ -14,24 +14,24 @@
   outcomes: Record<CallerOutcome, number>;
   preempted: number;
   readInVainTokens: number;
-  /** Mean time until a try was refused; 0 without refusals. */
+  /** Mean time until an attempt was refused; 0 without refusals. */
   heldMs: number;
   refusals: number;
-  /** Callers that came back after a refusal and were refused again. */
+  /** Callers that retried after a refusal and were refused again. */
   refusedAgain: number;
-  /** Reservations that an engine turned away, of all that were asked for. */
+  /** Reservations that engines rejected, out of `reservationsAsked`. */
   turnedAway: number;
   reservationsAsked: number;
   /** The largest tenth of the prompts of each kind. */
   largestTenth: ServedCount;
-  /** The fifth below it. */
+  /** The next fifth of the prompts of each kind, below the largest tenth. */
   nextFifth: ServedCount;
 }
 
-const largestShare = 0.1;
-const nextShare = 0.2;
+const largestPromptShare = 0.1;
+const nextPromptShare = 0.2;
 
-const noOutcomes = (): Record<CallerOutcome, number> => ({
+const createOutcomeCounts = (): Record<CallerOutcome, number> => ({
   'on-time': 0,
   late: 0,
   refused: 0,
@@ -40,11 +40,11 @@
 });
 
 export function summarize(
-  ends: readonly CallerEnd[],
+  ends: readonly CallerResult[],
   engines: readonly EngineModel[],
   reservations: ReservationCounts,
 ): ReplayFigures {
-  const outcomes = noOutcomes();
+  const outcomes = createOutcomeCounts();
   ends.forEach(({ outcome }) => {
     outcomes[outcome] += 1;
   });
@@ -60,22 +60,22 @@
       .length,
     turnedAway: reservations.turnedAway,
     reservationsAsked: reservations.asked,
-    largestTenth: countServed(ends, 0, largestShare),
-    nextFifth: countServed(ends, largestShare, largestShare + nextShare),
+    largestTenth: countServed(ends, 0, largestPromptShare),
+    nextFifth: countServed(ends, largestPromptShare, largestPromptShare + nextPromptShare),
   };
 }
 
-/** Of each kind's callers in order of their prompts, the largest first, those between two shares. */
-function countServed(ends: readonly CallerEnd[], from: number, until: number): ServedCount {
+/** Counts callers whose rank by prompt size within their kind, largest first, lies between two shares. */
+function countServed(ends: readonly CallerResult[], from: number, until: number): ServedCount {
   const kindNames = [...new Set(ends.map(({ kindName }) => kindName))];
-  const chosen = kindNames.flatMap((name) => {
+  const selected = kindNames.flatMap((name) => {
     const ofKind = ends
       .filter(({ kindName }) => kindName === name)
       .sort((left, right) => right.promptTokens - left.promptTokens);
     return ofKind.slice(Math.round(from * ofKind.length), Math.round(until * ofKind.length));
   });
-  const served = chosen.filter(({ outcome }) => outcome === 'on-time' || outcome === 'late');
-  return { asked: chosen.length, served: served.length };
+  const served = selected.filter(({ outcome }) => outcome === 'on-time' || outcome === 'late');
+  return { asked: selected.length, served: served.length };
 }
 
 function addServed(counts: readonly ServedCount[]): ServedCount {
@@ -85,9 +85,9 @@
   };
 }
 
-/** Sums; times are means over all refusals. */
+/** Sums figures; times become means over all refusals. */
 export function addFigures(all: readonly ReplayFigures[]): ReplayFigures {
-  const outcomes = noOutcomes();
+  const outcomes = createOutcomeCounts();
   all.forEach((figures) => {
     (Object.keys(outcomes) as CallerOutcome[]).forEach((outcome) => {
       outcomes[outcome] += figures.outcomes[outcome];
--- a/packages/replay/src/replayRouter.ts
+++ b/packages/replay/src/replayRouter.ts
@@ -1,4 +1,7 @@
-/** One router of a replay: the real parts before engines in virtual time, and peers whose news take a moment. */
+/**
+ * One router of a replay: the production components in front of engines in virtual time, with peers whose announcements
+ * arrive after a delay.
+ */
 import { createOutlierDetector } from '@bluebellhitch/decisions';
 import {
   createAttemptBudget,
@@ -22,14 +25,14 @@
 } from '@bluebellhitch/routing';
 import type { Random } from '@bluebellhitch/shared';
 import { createDecisionRing, type Logger } from '@bluebellhitch/telemetry';
-import { mechanisms, withHintsOnly, withPlainSums, type Mechanism } from './mechanisms';
+import { mechanisms, withHintsOnly, withConstantShares, type Mechanism } from './mechanisms';
 
 export interface ReplayRouter {
   address: string;
   serve: RequestRouter['serve'];
   loads: EngineLoads;
-  /** The routers that it tells what it has in progress. */
-  companions(): readonly string[];
+  /** The routers to which it announces its streams in progress. */
+  shardPeers(): readonly string[];
   replaceServer(before: BackendServer, after: BackendServer): void;
   stop(): Promise<void>;
 }
@@ -39,17 +42,17 @@
   configuration: Configuration;
   servers: readonly BackendServer[];
   backend: BackendApi;
-  /** Of all routers, this one among them. */
+  /** Addresses of all routers, including this one. */
   addresses: readonly string[];
-  /** This router's use of an engine has changed. */
-  onOwnChange(serverId: string): void;
+  /** Called when this router's use of an engine changes. */
+  onOwnUseChange(serverId: string): void;
   absent: ReadonlySet<Mechanism>;
   random: Random;
 }
 
 const loadIntervalMs = 1_000;
-/** Usual bounds: a fifth of the requests, and some besides. */
-const budget = { ratio: 0.2, allowance: 10, windowMs: 10_000 };
+/** The usual limits of the attempt budget: a fifth of the requests plus a fixed allowance. */
+const attemptBudget = { ratio: 0.2, allowance: 10, windowMs: 10_000 };
 
 const logger: Logger = {
   debug: () => undefined,
@@ -67,13 +70,13 @@
     ? withHintsOnly(learnedSizes)
     : learnedSizes;
   const forecastLoads = createEngineLoads({
-    onOwnUseChange: options.onOwnChange,
+    onOwnUseChange: options.onOwnUseChange,
     isListed: (serverId) => directory.get(serverId) !== undefined,
     tokensPerMs: streamSizes.tokensPerMs,
     lengthShape: streamSizes.lengthShape,
   });
   const loads = absent.has(mechanisms.memoryForecast)
-    ? withPlainSums(forecastLoads)
+    ? withConstantShares(forecastLoads)
     : forecastLoads;
   const health = createOutlierDetector();
   health.setPoolSize(directory.size());
@@ -90,7 +93,7 @@
     engineLoads: loads,
     streamSizes,
     placement: createDecodePlacement({ backend, pools, loads, health, random }),
-    budget: createAttemptBudget({ ...budget, allowance: () => budget.allowance }),
+    budget: createAttemptBudget({ ...attemptBudget, allowance: () => attemptBudget.allowance }),
     health,
     metrics: createRouterMetrics(),
     logger,
@@ -121,7 +124,7 @@
     address,
     serve: router.serve,
     loads,
-    companions: pools.shardPeers,
+    shardPeers: pools.shardPeers,
     replaceServer(before, after) {
       directory.put(after);
       loads.forget(before.id);
--- a/packages/replay/src/replayRun.ts
+++ b/packages/replay/src/replayRun.ts
@@ -1,4 +1,4 @@
-/** Replays one pattern of load with one seed in virtual time, and says how its callers fared. */
+/** Replays one load pattern with one seed in virtual time and returns the figures. */
 import FakeTimers from '@sinonjs/fake-timers';
 import {
   routeKinds,
@@ -8,7 +8,7 @@
   type Configuration,
 } from '@bluebellhitch/routing';
 import { assertNever, createSeededRandom, delay, type Random } from '@bluebellhitch/shared';
-import { runCaller, type CallerEnd } from './caller';
+import { runCaller, type CallerResult } from './caller';
 import { createEngineFleet } from './engineFleet';
 import { createEngineModel, type EngineModel } from './engineModel';
 import { mechanisms, type Mechanism } from './mechanisms';
@@ -20,51 +20,55 @@
 export interface ReplayOptions {
   pattern: LoadPattern;
   seed: number;
+  /** Mechanisms to leave out. */
   absent?: readonly Mechanism[];
 }
 
 const serviceName = 'replay';
 const msPerSecond = 1000;
-/** After the last request: answers under way come to their end. */
-const runOutMs = 20_000;
-/** Changes of this time go into one datagram. */
+/** Time after the last request, in which responses in progress end. */
+const settleMs = 20_000;
+/** Changes within this time are announced in one datagram. */
 const coalesceMs = 4;
 const reservationLimitMs = 2_000;
-/** Each kind draws for itself, so that one kind's requests stay the same when another's change. */
-const maxKinds = 64;
+/**
+ * Each kind has a random generator of its own, so that its requests stay the same when another kind changes. Seeds of
+ * different replays do not overlap with at most this many kinds.
+ */
+const seedsPerReplay = 64;
 const fakedNames = ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'performance'];
 
 export async function runReplay(options: ReplayOptions): Promise<ReplayFigures> {
   const clock = FakeTimers.install({ toFake: fakedNames as FakeTimers.FakeMethod[] });
   try {
-    const world = createWorld(options);
-    await clock.tickAsync(options.pattern.seconds * msPerSecond + runOutMs);
-    await world.stop();
-    return summarize(world.ends, world.engines(), world.reservations);
+    const simulation = createSimulation(options);
+    await clock.tickAsync(options.pattern.seconds * msPerSecond + settleMs);
+    await simulation.stop();
+    return summarize(simulation.ends, simulation.engines(), simulation.reservations);
   } finally {
     clock.uninstall();
   }
 }
 
-function createWorld({ pattern, seed, absent = [] }: ReplayOptions) {
+function createSimulation({ pattern, seed, absent = [] }: ReplayOptions) {
   const random = createSeededRandom(seed);
-  const missing = new Set(absent);
-  const ends: CallerEnd[] = [];
+  const absentMechanisms = new Set(absent);
+  const ends: CallerResult[] = [];
   const sizes = new Map<string, RequestSize>();
-  const engines = createEngines(pattern, missing, replaceServer);
+  const engines = createEngines(pattern, absentMechanisms, replaceServer);
   const { backend, reservations } = createEngineFleet({
     engines,
     outputTokensOf: (requestId) => sizes.get(requestId)?.outputTokens ?? 1,
     tokensPerEvent: pattern.engines.tokensPerEvent,
   });
-  const configuration = configurationOf(pattern, missing);
+  const configuration = createConfiguration(pattern, absentMechanisms);
   let routers = startRouters();
   let requestNumber = 0;
   pattern.kinds.forEach((kind, index) => {
-    void arrive(kind, createSeededRandom(seed * maxKinds + index));
+    void generateArrivals(kind, createSeededRandom(seed * seedsPerReplay + index));
   });
   pattern.steps.forEach((step) => {
-    void take(step);
+    void applyStep(step);
   });
 
   function startRouters(): ReplayRouter[] {
@@ -76,19 +80,21 @@
         servers: [...engines.values()].map((engine) => engine.server()),
         backend,
         addresses,
-        onOwnChange: missing.has(mechanisms.peerNews) ? () => undefined : tellPeers(address),
-        absent: missing,
+        onOwnUseChange: absentMechanisms.has(mechanisms.peerNews)
+          ? () => undefined
+          : createPeerNotifier(address),
+        absent: absentMechanisms,
         random,
       }),
     );
   }
 
-  function replaceServer(...lives: Parameters<ReplayRouter['replaceServer']>): void {
-    routers.forEach((router) => router.replaceServer(...lives));
+  function replaceServer(...versions: Parameters<ReplayRouter['replaceServer']>): void {
+    routers.forEach((router) => router.replaceServer(...versions));
   }
 
-  /** What changed at one router, told to the others a moment later. */
-  function tellPeers(address: string): (serverId: string) => void {
+  /** Announces changes of one router's engine use to its shard peers after a delay. */
+  function createPeerNotifier(address: string): (serverId: string) => void {
     const changed = new Set<string>();
     return (serverId) => {
       if (changed.size === 0) {
@@ -104,29 +110,29 @@
   function deliver(address: string, serverIds: readonly string[]): void {
     const current = routers;
     const sender = current.find((router) => router.address === address);
-    const told = structuredClone(selectEngineUse(sender?.loads.ownUse() ?? [], serverIds));
+    const announcedUse = structuredClone(selectEngineUse(sender?.loads.ownUse() ?? [], serverIds));
     setTimeout(() => {
       current
-        .filter((router) => sender?.companions().includes(router.address))
-        .forEach(({ loads }) => loads.setPeerUse(address, told, false));
+        .filter((router) => sender?.shardPeers().includes(router.address))
+        .forEach(({ loads }) => loads.setPeerUse(address, announcedUse, false));
     }, pattern.peerDelayMs);
   }
 
-  async function arrive(kind: RequestKind, draws: Random): Promise<void> {
+  async function generateArrivals(kind: RequestKind, kindRandom: Random): Promise<void> {
     const endsAtMs = performance.now() + pattern.seconds * msPerSecond;
     while (performance.now() < endsAtMs) {
       const rate = kind.ratePerSecond * rateFactor(pattern, kind);
-      await delay((-Math.log(1 - draws()) / rate) * msPerSecond);
-      ask(kind, draws);
+      await delay((-Math.log(1 - kindRandom()) / rate) * msPerSecond);
+      startCaller(kind, kindRandom);
     }
   }
 
-  function ask(kind: RequestKind, draws: Random): void {
+  function startCaller(kind: RequestKind, kindRandom: Random): void {
     const leave = activeStep(pattern, 'callers-leave');
     const repeat = activeStep(pattern, 'callers-repeat');
-    const size = drawSize(kind, pattern.engines.tokensPerEvent, draws);
-    const leaves = draws() < (leave?.share ?? 0);
-    const repeats = draws() < (repeat?.share ?? 0);
+    const size = drawSize(kind, pattern.engines.tokensPerEvent, kindRandom);
+    const leaves = kindRandom() < (leave?.share ?? 0);
+    const repeats = kindRandom() < (repeat?.share ?? 0);
     void runCaller({
       kind,
       size,
@@ -136,8 +142,8 @@
       },
       noteRequest: (requestId) => sizes.set(requestId, size),
       serve: (exchange) => serveAnywhere(exchange),
-      leavesAfterMs: leaves ? leave?.afterMs : undefined,
-      repeats: repeats ? repeat?.times : undefined,
+      disconnectAfterMs: leaves ? leave?.afterMs : undefined,
+      immediateRetries: repeats ? repeat?.times : undefined,
       onEnd: (end) => ends.push(end),
     });
   }
@@ -147,11 +153,11 @@
     return router?.serve(exchange) ?? Promise.resolve();
   }
 
-  async function take(step: LoadStep): Promise<void> {
+  async function applyStep(step: LoadStep): Promise<void> {
     await delay(step.atS * msPerSecond);
     switch (step.kind) {
       case 'engines-lost':
-        loseEngines(step.share, step.forS * msPerSecond);
+        crashEngines(step.share, step.forS * msPerSecond);
         return;
       case 'routers-restart':
         await Promise.all(routers.map((router) => router.stop()));
@@ -166,7 +172,7 @@
     }
   }
 
-  function loseEngines(share: number, forMs: number): void {
+  function crashEngines(share: number, forMs: number): void {
     const decode = [...engines.values()].filter(({ server }) => server().stage === stages.decode);
     decode.slice(0, Math.ceil(share * decode.length)).forEach((engine) => engine.crash(forMs));
   }
@@ -207,18 +213,18 @@
   absent: ReadonlySet<Mechanism>,
   onRestart: Parameters<typeof createEngineModel>[0]['onRestart'],
 ): Map<string, EngineModel> {
-  const readingCount = absent.has(mechanisms.readingApart) ? 0 : shape.prefill;
+  const prefillCount = absent.has(mechanisms.readingApart) ? 0 : shape.prefill;
   const names = Array.from({ length: shape.decode + shape.prefill }, (_none, n) => `e${n}`);
   return new Map(
     names.map((name, index) => {
-      const stage = index < readingCount ? stages.prefill : stages.decode;
-      const own = slowed(shape, shape.slowness[index % shape.slowness.length] ?? 1);
-      return [name, createEngineModel({ name, serviceName, stage, shape: own, onRestart })];
+      const stage = index < prefillCount ? stages.prefill : stages.decode;
+      const ownShape = scaleTimes(shape, shape.slowness[index % shape.slowness.length] ?? 1);
+      return [name, createEngineModel({ name, serviceName, stage, shape: ownShape, onRestart })];
     }),
   );
 }
 
-function slowed(shape: EngineShape, factor: number): EngineShape {
+function scaleTimes(shape: EngineShape, factor: number): EngineShape {
   return {
     ...shape,
     stepMs: shape.stepMs * factor,
@@ -227,7 +233,7 @@
   };
 }
 
-function configurationOf(
+function createConfiguration(
   { kinds, engines }: LoadPattern,
   absent: ReadonlySet<Mechanism>,
 ): Configuration {
--- a/packages/replay/src/requestSizes.ts
+++ b/packages/replay/src/requestSizes.ts
@@ -1,4 +1,4 @@
-/** Draws the sizes of requests: prompts and answers are log-normal, hints right in the middle. */
+/** Draws request sizes: prompts and outputs are log-normal, and the median hint is correct. */
 import type { PromptSize } from '@bluebellhitch/routing';
 import type { Random } from '@bluebellhitch/shared';
 import type { RequestKind, SizeDistribution } from './pattern';
