--- a/packages/replay/__tests__/quotaReplay.test.ts
+++ b/packages/replay/__tests__/quotaReplay.test.ts
@@ -65,7 +65,7 @@
     seconds: 24,
     ratePerSecond,
     burst: ratePerSecond * between(0.5, 1.5),
-    cost: { least: 200, most: Math.min(6_600, ratePerSecond / 2) },
+    cost: { min: 200, max: Math.min(6_600, ratePerSecond / 2) },
     // As in the users' deployment, about four seconds of the rate.
     slack: { windowMs: 8_000, overageShare: 0.1, amount: 4 * ratePerSecond },
     delayMs: between(2, 30),
--- a/packages/replay/src/quota/quotaLoad.ts
+++ b/packages/replay/src/quota/quotaLoad.ts
@@ -25,7 +25,7 @@
   slack: QuotaSlack;
   /** Average demand divided by the rate. */
   demand: number;
-  cost: { least: number; most: number };
+  cost: { min: number; max: number };
   /** Mean one-way delay of a datagram. */
   delayMs: number;
   /** Share of datagrams that are lost. */
--- a/packages/replay/src/quota/quotaReplay.ts
+++ b/packages/replay/src/quota/quotaReplay.ts
@@ -145,8 +145,8 @@
   }
 
   function handleRequest(router: Router, nowMs: number): void {
-    const { least, most } = load.cost;
-    const cost = Math.round(least + (most - least) * random());
+    const { min, max } = load.cost;
+    const cost = Math.round(min + (max - min) * random());
     const isOwed = takeFromIdealBucket(cost, nowMs);
     const isAdmitted = router.limiter.take(cost, nowMs) || askIssuers(router, nowMs);
     figures.asked += cost;
@@ -169,7 +169,7 @@
     const runningRouters = faults.isAnyPaused(nowMs)
       ? routers.filter(({ address }) => !faults.isPaused(address, nowMs))
       : routers;
-    const meanCost = (load.cost.least + load.cost.most) / 2;
+    const meanCost = (load.cost.min + load.cost.max) / 2;
     dueRequests += (demandAt(load, nowMs) * tickMs) / msPerSecond / meanCost;
     // A router that resumes after a pause can handle a request before it reads its queued datagrams.
     while (dueRequests >= 1) {
--- a/packages/soak/__tests__/checks.test.ts
+++ b/packages/soak/__tests__/checks.test.ts
@@ -3,22 +3,22 @@
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import { createDisruptions } from '../src/disruptions';
 import { createFindings } from '../src/findings';
-import { createLedger, type Arrival, type RequestEnd } from '../src/ledger';
-import type { ShownKey } from '../src/keyring';
+import { createLedger, type Arrival, type RequestOutcome } from '../src/ledger';
+import type { PresentedKey } from '../src/keyring';
 import { createLimitChecks } from '../src/limitChecks';
 import { createRequestChecks } from '../src/requestChecks';
-import { createWordChecks } from '../src/wordChecks';
+import { createNoticeChecks } from '../src/noticeChecks';
 import { createWorkspaceChecks } from '../src/workspaceChecks';
 
-const bonds: ShownKey = {
+const bonds: PresentedKey = {
   key: 'k',
   workspaceName: 'bonds',
   givenAtMs: -Infinity,
   takenAtMs: Infinity,
 };
 
-/** A check that never fails proves nothing: each of these must be found. */
-function createWorld() {
+/** The tests provoke violations, which the checks must report: a check that never fails would prove nothing. */
+function createFixture() {
   const findings = createFindings(monotonicNowMs());
   const disruptions = createDisruptions({ contactMs: 1_000 });
   const ledger = createLedger({ onArrival: (arrival) => checks.onArrival(arrival) });
@@ -43,10 +43,10 @@
 
   const limits = createLimitChecks({ ledger, findings, disruptions, marginMs: 100 });
 
-  const words = createWordChecks({ ledger, findings, disruptions });
+  const notices = createNoticeChecks({ ledger, findings, disruptions });
 
-  function request(id: string, over: { isRepeatable?: boolean; shownKey?: ShownKey } = {}) {
-    return ledger.send({
+  function request(id: string, over: { isRepeatable?: boolean; shownKey?: PresentedKey } = {}) {
+    return ledger.recordRequest({
       id,
       routerName: 'router-0',
       routeName: 'unsafe',
@@ -59,195 +59,192 @@
     });
   }
 
-  function end(id: string, how: RequestEnd) {
+  function end(id: string, outcome: RequestOutcome) {
     const sent = ledger.request(id);
     if (sent !== undefined) {
       sent.endedAtMs = monotonicNowMs();
-      sent.end = how;
+      sent.end = outcome;
       checks.onEnded(sent);
     }
   }
 
   const arrive = (requestId: string, serverId = 'counter-1', over: Partial<Arrival> = {}) =>
-    ledger.arrive({
+    ledger.recordArrival({
       ...{ requestId, serverId, serviceName: 'counter', isPrefill: false, hasRun: true },
       ...{ workspaceName: 'bonds', hasCredential: false },
       ...over,
     });
   const found = () => findings.all().map(({ promise }) => promise);
-  return { request, end, arrive, found, checks, limits, words, leaving, disruptions };
+  return { request, end, arrive, found, checks, limits, notices, leaving, disruptions };
 }
 
-test('a second run, a false refusal and one that runs later are found', (t) => {
-  const world = createWorld();
-  world.request('a');
-  world.arrive('a');
-  world.arrive('a');
-  world.request('b');
-  world.arrive('b');
-  world.end('b', { kind: 'refused', status: 503 });
-  world.request('c');
-  world.end('c', { kind: 'refused', status: 503 });
-  world.arrive('c');
-  world.checks.checkAll();
-  t.deepEqual(world.found(), ['at-most-once', 'true-refusal', 'true-refusal', 'true-refusal']);
+test('a second run, a refusal after a run and a run after a refusal are reported', (t) => {
+  const fixture = createFixture();
+  fixture.request('a');
+  fixture.arrive('a');
+  fixture.arrive('a');
+  fixture.request('b');
+  fixture.arrive('b');
+  fixture.end('b', { kind: 'refused', status: 503 });
+  fixture.request('c');
+  fixture.end('c', { kind: 'refused', status: 503 });
+  fixture.arrive('c');
+  fixture.checks.checkAll();
+  t.deepEqual(fixture.found(), ['at-most-once', 'true-refusal', 'true-refusal', 'true-refusal']);
 });
 
-test('another request’s answer and a stream with a missing event are found', (t) => {
-  const world = createWorld();
-  world.request('a');
-  world.arrive('a');
-  world.end('a', { kind: 'whole', status: 200, body: 'b at counter-1' });
-  t.deepEqual(world.found(), ['whole-answer']);
-  world.request('c');
-  world.arrive('c');
-  world.end('c', { kind: 'whole', status: 200, body: 'c at counter-1' });
-  t.is(world.found().length, 1);
+test('a body of another request is reported, a correct one is not', (t) => {
+  const fixture = createFixture();
+  fixture.request('a');
+  fixture.arrive('a');
+  fixture.end('a', { kind: 'whole', status: 200, body: 'b at counter-1' });
+  t.deepEqual(fixture.found(), ['whole-answer']);
+  fixture.request('c');
+  fixture.arrive('c');
+  fixture.end('c', { kind: 'whole', status: 200, body: 'c at counter-1' });
+  t.is(fixture.found().length, 1);
 });
 
-test('a request to a server that has left is found, unless its router was out of touch', (t) => {
-  const world = createWorld();
-  world.leaving.set('counter-1', monotonicNowMs() - 2_500);
-  world.request('a');
-  world.arrive('a');
-  t.deepEqual(world.found(), ['drain']);
-  world.disruptions.begin({ kind: 'router', name: 'router-0' }, 'frozen')();
-  world.request('b');
-  world.arrive('b');
-  t.is(world.found().length, 1);
+test('a request to a server that has left is reported, unless its router had no contact', (t) => {
+  const fixture = createFixture();
+  fixture.leaving.set('counter-1', monotonicNowMs() - 2_500);
+  fixture.request('a');
+  fixture.arrive('a');
+  t.deepEqual(fixture.found(), ['drain']);
+  fixture.disruptions.begin({ kind: 'router', name: 'router-0' }, 'frozen')();
+  fixture.request('b');
+  fixture.arrive('b');
+  t.is(fixture.found().length, 1);
 });
 
-test('an answer that breaks beside planned work is found, one beside a crash is not', (t) => {
-  const world = createWorld();
-  world.disruptions.begin({ kind: 'router', name: 'router-0' }, 'stopped', { isPlanned: true });
-  world.request('a');
-  world.end('a', { kind: 'broken', status: 200, body: '' });
-  t.deepEqual(world.found(), ['leaving']);
-  world.disruptions.begin({ kind: 'server', id: 'counter-1' }, 'crash');
-  world.request('b');
-  world.end('b', { kind: 'broken', status: 200, body: '' });
-  t.is(world.found().length, 1);
+test('a response broken during planned work is reported, one broken during a crash is not', (t) => {
+  const fixture = createFixture();
+  fixture.disruptions.begin({ kind: 'router', name: 'router-0' }, 'stopped', { isPlanned: true });
+  fixture.request('a');
+  fixture.end('a', { kind: 'broken', status: 200, body: '' });
+  t.deepEqual(fixture.found(), ['leaving']);
+  fixture.disruptions.begin({ kind: 'server', id: 'counter-1' }, 'crash');
+  fixture.request('b');
+  fixture.end('b', { kind: 'broken', status: 200, body: '' });
+  t.is(fixture.found().length, 1);
 });
 
-test('a run of a key that was taken away, was never given, or went on, and a false 401 are found', (t) => {
-  const world = createWorld();
+test('runs with a revoked or unknown key, a forwarded key, a wrong workspace and a wrong 401 are reported', (t) => {
+  const fixture = createFixture();
   const nowMs = monotonicNowMs();
-  world.request('late', { shownKey: { ...bonds, takenAtMs: nowMs - 1_200 } });
-  world.arrive('late');
-  world.request('unknown', { shownKey: { key: 'x', givenAtMs: Infinity, takenAtMs: Infinity } });
-  world.arrive('unknown', 'counter-1', { workspaceName: undefined });
-  world.request('shown');
-  world.arrive('shown', 'counter-1', { hasCredential: true });
-  world.request('other');
-  world.arrive('other', 'counter-1', { workspaceName: 'letters' });
-  world.request('refused');
-  world.end('refused', { kind: 'failed', status: 401 });
-  t.deepEqual(world.found(), ['keys', 'keys', 'keys', 'keys', 'keys']);
+  fixture.request('late', { shownKey: { ...bonds, takenAtMs: nowMs - 1_200 } });
+  fixture.arrive('late');
+  fixture.request('unknown', { shownKey: { key: 'x', givenAtMs: Infinity, takenAtMs: Infinity } });
+  fixture.arrive('unknown', 'counter-1', { workspaceName: undefined });
+  fixture.request('shown');
+  fixture.arrive('shown', 'counter-1', { hasCredential: true });
+  fixture.request('other');
+  fixture.arrive('other', 'counter-1', { workspaceName: 'letters' });
+  fixture.request('refused');
+  fixture.end('refused', { kind: 'failed', status: 401 });
+  t.deepEqual(fixture.found(), ['keys', 'keys', 'keys', 'keys', 'keys']);
 });
 
-test('a run within the time of a key, and a 401 for one that was just given, are right', (t) => {
-  const world = createWorld();
+test('a run soon after a key was revoked and a 401 for a key just issued are not reported', (t) => {
+  const fixture = createFixture();
   const nowMs = monotonicNowMs();
-  world.request('soon', { shownKey: { ...bonds, takenAtMs: nowMs - 900 } });
-  world.arrive('soon');
-  world.request('new', { shownKey: { ...bonds, givenAtMs: nowMs - 500 } });
-  world.end('new', { kind: 'failed', status: 401 });
-  t.deepEqual(world.found(), []);
+  fixture.request('soon', { shownKey: { ...bonds, takenAtMs: nowMs - 900 } });
+  fixture.arrive('soon');
+  fixture.request('new', { shownKey: { ...bonds, givenAtMs: nowMs - 500 } });
+  fixture.end('new', { kind: 'failed', status: 401 });
+  t.deepEqual(fixture.found(), []);
 });
 
-test('a request that arrives long after its caller has left is found, unless a link held it up', (t) => {
+test('a request that arrives long after its caller disconnected is reported, unless its link was disturbed', (t) => {
   const clock = FakeTimers.install({ toFake: ['performance'] });
   t.teardown(() => clock.uninstall());
-  const world = createWorld();
+  const fixture = createFixture();
   ['a', 'b'].forEach((id) => {
-    world.request(id);
-    world.end(id, { kind: 'caller-left' });
+    fixture.request(id);
+    fixture.end(id, { kind: 'caller-left' });
   });
   clock.tick(700);
-  world.arrive('a');
-  t.deepEqual(world.found(), ['in-time']);
-  world.disruptions.begin({ kind: 'server', id: 'counter-1' }, 'one-way')();
-  world.arrive('b');
-  t.is(world.found().length, 1);
+  fixture.arrive('a');
+  t.deepEqual(fixture.found(), ['in-time']);
+  fixture.disruptions.begin({ kind: 'server', id: 'counter-1' }, 'one-way')();
+  fixture.arrive('b');
+  t.is(fixture.found().length, 1);
 });
 
 test.serial(
-  'a server that gets more than the limit that it named is found, but for what was on its way',
+  'more requests than an announced limit are reported, except those that were in flight',
   (t) => {
     const clock = FakeTimers.install();
     try {
-      const world = createWorld();
+      const fixture = createFixture();
       let sent = 0;
       const send = (serverId: string, count: number) =>
         Array.from({ length: count }).forEach(() => {
           sent += 1;
-          world.request(`q${sent}`);
-          world.arrive(`q${sent}`, serverId);
+          fixture.request(`q${sent}`);
+          fixture.arrive(`q${sent}`, serverId);
           clock.tick(100);
         });
-      const ended = ['kept', 'passed'].map((id) => world.limits.begin(id, 1));
+      const endLimits = ['kept', 'passed'].map((id) => fixture.limits.begin(id, 1));
       send('kept', 5);
       send('kept', 11);
       send('passed', 5);
       clock.tick(1_000);
       send('passed', 12);
-      ended.forEach((end) => end());
+      endLimits.forEach((end) => end());
       send('kept', 20);
-      world.limits.checkAll();
-      t.deepEqual(world.found(), ['server-limit']);
+      fixture.limits.checkAll();
+      t.deepEqual(fixture.found(), ['server-limit']);
     } finally {
       clock.uninstall();
     }
   },
 );
 
-test.serial(
-  'a router that sends to a server after its word that it leaves, or rests, is found',
-  (t) => {
-    const clock = FakeTimers.install();
-    try {
-      const world = createWorld();
-      let sent = 0;
-      const send = (serverId: string, how: RequestEnd) => {
-        sent += 1;
-        world.request(`q${sent}`);
-        world.arrive(`q${sent}`, serverId, { hasRun: how.kind === 'whole' });
-        clock.tick(10);
-        world.end(`q${sent}`, how);
-        clock.tick(10);
-        return `q${sent}`;
-      };
-      const whole = (): RequestEnd => ({ kind: 'whole', status: 500, body: '' });
-      const refused: RequestEnd = { kind: 'refused', status: 503 };
-      const foundAll = () => {
-        world.words.checkAll();
-        return world.found().filter((promise) => promise.endsWith('-word'));
-      };
-      // Each word is told once, and the rest is over before the next request.
-      send('leaves', whole());
-      world.words.leaves('leaves');
-      send('leaves', whole());
-      const ended = world.words.rests('rests', 1_000);
-      send('rests', refused);
-      ended();
-      clock.tick(1_000);
-      send('rests', whole());
-      t.deepEqual(foundAll(), []);
-      // A router that was killed since has forgotten.
-      world.disruptions.begin({ kind: 'router', name: 'router-0' }, 'killed')();
+test.serial('a request to a server after its leaving or backoff notice is reported', (t) => {
+  const clock = FakeTimers.install();
+  try {
+    const fixture = createFixture();
+    let sent = 0;
+    const send = (serverId: string, outcome: RequestOutcome) => {
+      sent += 1;
+      fixture.request(`q${sent}`);
+      fixture.arrive(`q${sent}`, serverId, { hasRun: outcome.kind === 'whole' });
       clock.tick(10);
-      send('leaves', whole());
-      t.deepEqual(foundAll(), []);
+      fixture.end(`q${sent}`, outcome);
       clock.tick(10);
-      send('leaves', whole());
-      t.deepEqual(foundAll(), ['leaving-word']);
-      const endedLater = world.words.rests('rests', 1_000);
-      send('rests', refused);
-      send('rests', refused);
-      endedLater();
-      t.deepEqual(foundAll().slice(1), ['leaving-word', 'rest-word']);
-    } finally {
-      clock.uninstall();
-    }
-  },
-);
+      return `q${sent}`;
+    };
+    const whole = (): RequestOutcome => ({ kind: 'whole', status: 500, body: '' });
+    const refused: RequestOutcome = { kind: 'refused', status: 503 };
+    const foundNoticeViolations = () => {
+      fixture.notices.checkAll();
+      return fixture.found().filter((promise) => promise.endsWith('-word'));
+    };
+    // Each notice is sent once, and the backoff has expired before the next request.
+    send('leaves', whole());
+    fixture.notices.noteLeaving('leaves');
+    send('leaves', whole());
+    const endBackoff = fixture.notices.beginBackoff('rests', 1_000);
+    send('rests', refused);
+    endBackoff();
+    clock.tick(1_000);
+    send('rests', whole());
+    t.deepEqual(foundNoticeViolations(), []);
+    // A router that was killed since then has lost the notice.
+    fixture.disruptions.begin({ kind: 'router', name: 'router-0' }, 'killed')();
+    clock.tick(10);
+    send('leaves', whole());
+    t.deepEqual(foundNoticeViolations(), []);
+    clock.tick(10);
+    send('leaves', whole());
+    t.deepEqual(foundNoticeViolations(), ['leaving-word']);
+    const endLaterBackoff = fixture.notices.beginBackoff('rests', 1_000);
+    send('rests', refused);
+    send('rests', refused);
+    endLaterBackoff();
+    t.deepEqual(foundNoticeViolations().slice(1), ['leaving-word', 'rest-word']);
+  } finally {
+    clock.uninstall();
+  }
+});
--- a/packages/soak/__tests__/script.test.ts
+++ b/packages/soak/__tests__/script.test.ts
@@ -3,13 +3,13 @@
 
 const options = { durationMs: 20_000, routerCount: 3, serverCount: 10 };
 
-test('a seed makes the same script each time, another seed another one', (t) => {
+test('the same seed gives the same script, another seed a different one', (t) => {
   const scripts = [7, 7, 8].map((seed) => createScript({ ...options, seed }));
   t.deepEqual(scripts[0], scripts[1]);
   t.notDeepEqual(scripts[0], scripts[2]);
 });
 
-test('steps are in order, inside the time, and name what is there', (t) => {
+test('steps are ordered, within the duration, and refer to existing routers and servers', (t) => {
   Array.from({ length: 200 }, (_none, seed) => createScript({ ...options, seed })).forEach(
     ({ steps }) => {
       const times = steps.map(({ atMs }) => atMs);
@@ -26,7 +26,7 @@
   );
 });
 
-test('all kinds of operations come up, and some scripts hold planned work alone', (t) => {
+test('all kinds of operations occur, and some scripts contain only planned work', (t) => {
   const scripts = Array.from({ length: 200 }, (_none, seed) => createScript({ ...options, seed }));
   const kinds = new Set(
     scripts.flatMap(({ steps }) => steps.map(({ operation }) => operation.kind)),
--- a/packages/soak/__tests__/soakRun.test.ts
+++ b/packages/soak/__tests__/soakRun.test.ts
@@ -7,14 +7,14 @@
 const repositoryRoot = join(import.meta.dirname, '..', '..', '..');
 
 /**
- * Seeds that failed once stay here, each with its cause. 5 and 25: SIGHUP ended a router that was starting. 513: a
- * router that started while the store was away believed the copy from which it came back.
+ * Seeds that have failed before, as regression tests. 5 and 25: SIGHUP ended a router that was starting. 513: a router
+ * that started during a store outage trusted the backup from which the store was restored.
  */
 const seeds = [5, 25, 513, 715, 733];
 
 seeds.forEach((seed) => {
   test.serial(
-    `routers as processes keep their promises under the script of seed ${seed}`,
+    `router processes keep their promises under the script of seed ${seed}`,
     async (t) => {
       t.timeout(90_000);
       const report = await runSoak({
@@ -26,7 +26,7 @@
         programPath: join(repositoryRoot, 'target', 'bluebell-router.mjs'),
         exitWithParentPath: join(repositoryRoot, 'scripts', 'lib', 'exitWithParent.mjs'),
         directory: join(mkdtempSync(join(tmpdir(), 'bluebell-soak-')), String(seed)),
-        // The machine of a check may be busy: bounds are held against it with a second more.
+        // One second more than the default, because the machine of a CI run may be busy.
         marginMs: 1_500,
       });
       t.deepEqual(report.findings, []);
--- a/packages/soak/src/backendServers.ts
+++ b/packages/soak/src/backendServers.ts
@@ -1,6 +1,6 @@
 /**
- * The backend servers behind their proxies, as the store lists them. A place keeps its service and its
- * turn in scripts; the server in it changes with each restart or replacement.
+ * The backend servers, each behind a proxy and listed in the store. A slot keeps its service and its index in scripts; the
+ * server in it changes with each restart or replacement.
  */
 import {
   startStandinWorker,
@@ -25,8 +25,9 @@
   disruptions: Disruptions;
   findings: Findings;
   random: Random;
-  /** How long routers may still send to a server whose leaving the store has acknowledged. */
+  /** How long routers may still send to a server after the store has acknowledged that it is leaving. */
   drainMs: number;
+  /** Called when the responses of a server begin to say that it is leaving. */
   onLeaving(serverId: string): void;
 }
 
@@ -36,35 +37,36 @@
 }
 
 export interface BackendServers {
-  placeCount: number;
-  /** Falls silent at once; its entry lapses; another server takes its place after `downMs`. */
-  crash(place: number, downMs: number): Promise<void>;
+  slotCount: number;
+  /** Ends a server without notice. Its entry expires, and another server starts in its slot after `downMs`. */
+  crash(slot: number, downMs: number): Promise<void>;
   /**
-   * A new server comes first, then the old one drains and leaves. Its answers say so at once, its entry after `unlistedMs`.
+   * Starts a new server, then drains the old one and ends it. The old server's responses say so immediately, its entry in
+   * the store after `unlistedMs`.
    */
-  replace(place: number, unlistedMs: number): Promise<void>;
-  setLink(place: number, fault: LinkFault): void;
-  resetLinks(place: number): void;
-  setErrors(place: number, errors: ServerErrors | undefined): void;
-  /** The store has come back from an older copy: those that live write again, entries of others lapse. */
-  listAgain(): Promise<void>;
-  /** Of the server that is there now. */
-  nameLimit(place: number, requestsPerSecond: number | undefined): void;
-  /** It turns all away and asks for so much rest; undefined: no longer. */
-  askForRest(place: number, restMs: number | undefined): void;
-  serverId(place: number): string;
-  /** When the store acknowledged that the server leaves. */
+  replace(slot: number, unlistedMs: number): Promise<void>;
+  setLink(slot: number, fault: LinkFault): void;
+  resetLinks(slot: number): void;
+  setErrors(slot: number, errors: ServerErrors | undefined): void;
+  /** After the store was restored from a backup: running servers write their entries again, the others' expire. */
+  republishEntries(): Promise<void>;
+  /** Sets the request limit that the slot's current server announces; undefined: none. */
+  setLimitNotice(slot: number, requestsPerSecond: number | undefined): void;
+  /** Makes the slot's current server reject all requests and announce a backoff time; undefined ends that. */
+  setBackoffNotice(slot: number, restMs: number | undefined): void;
+  serverId(slot: number): string;
+  /** When the store acknowledged that the server is leaving; undefined if it is not. */
   leavingSinceMs(serverId: string): number | undefined;
   close(): Promise<void>;
 }
 
-interface Place {
+interface ServerSlot {
   index: number;
   service: ServiceName;
   stage?: Stage;
   errors?: ServerErrors;
   current?: RunningServer;
-  lives: number;
+  startCount: number;
 }
 
 interface RunningServer {
@@ -72,8 +74,8 @@
   proxy: LoopbackProxy;
 }
 
-/** One engine more reads prompts than the routers want: they have an order to give. */
-const layout: readonly Pick<Place, 'service' | 'stage'>[] = [
+/** One prefill engine more than the routers want, so that they have a reason to order a change of stage. */
+const slotLayout: readonly Pick<ServerSlot, 'service' | 'stage'>[] = [
   { service: serviceNames.letters, stage: stages.prefill },
   { service: serviceNames.letters, stage: stages.prefill },
   { service: serviceNames.letters, stage: stages.decode },
@@ -85,9 +87,9 @@
   { service: serviceNames.desk },
   { service: serviceNames.desk },
 ];
-/** Three heartbeats of 400 ms: an entry without them goes. */
-const entryLapseMs = 1_200;
-/** A server that drains serves this long beyond the time that routers may use. */
+/** An entry expires after three missed heartbeats of 400 ms. */
+const entryExpiryMs = 1_200;
+/** How long a draining server keeps serving after routers must have stopped sending. */
 const drainReserveMs = 1_500;
 export const streamEvents = 12;
 const eventGapMs = 25;
@@ -95,163 +97,164 @@
 const storeKind = 'servers';
 const msPerSecond = 1_000;
 
-/** What a plain request's caller gets. */
+/** Response body of a plain request. */
 export function plainText(requestId: string, serverId: string): string {
   return `${requestId} at ${serverId}`;
 }
 
-/** What a stream's caller gets, whichever servers made it. */
+/** Text of a stream's event, which does not depend on the server. */
 export function eventText(requestId: string, event: number): string {
   return `${requestId} ${event}`;
 }
 
 export async function startBackendServers(options: BackendServersOptions): Promise<BackendServers> {
   const { store, ledger, findings, random } = options;
-  const places: Place[] = layout.map((place, index) => ({ ...place, index, lives: 0 }));
+  const slots: ServerSlot[] = slotLayout.map((slot, index) => ({ ...slot, index, startCount: 0 }));
   const leaving = new Map<string, number>();
   const draining = new Map<string, RunningServer>();
-  const fencing = new Map<string, number>();
+  const highestFencingNumbers = new Map<string, number>();
 
-  async function startAt(place: Place): Promise<void> {
-    place.lives += 1;
-    const id = `${place.service}-${place.index}-${place.lives}`;
-    const { service } = place;
+  async function startAt(slot: ServerSlot): Promise<void> {
+    slot.startCount += 1;
+    const id = `${slot.service}-${slot.index}-${slot.startCount}`;
+    const { service } = slot;
     const worker = await startStandinWorker({
       id,
       service,
-      stage: place.stage,
+      stage: slot.stage,
       eventCount: streamEvents,
       eventGapMs,
       workMs,
       textOf: (requestId, event) =>
         event === undefined ? plainText(requestId, id) : eventText(requestId, event),
-      chooseRun: () => chooseRun(place),
-      onArrival: (arrival) => ledger.arrive({ ...arrival, serverId: id, serviceName: service }),
+      chooseRun: () => chooseRun(slot),
+      onArrival: (arrival) =>
+        ledger.recordArrival({ ...arrival, serverId: id, serviceName: service }),
       onOrder({ holderId, fencingNumber, stage }) {
-        place.stage = stage;
+        slot.stage = stage;
         noteOrder(id, holderId, fencingNumber);
       },
-      onStageChanged: () => place.current?.worker === worker && list(place),
+      onStageChanged: () => slot.current?.worker === worker && publishEntry(slot),
     });
     const proxy = await startLoopbackProxy({ host: options.host, target: worker.address });
-    place.current = { worker, proxy };
-    list(place);
+    slot.current = { worker, proxy };
+    publishEntry(slot);
   }
 
-  function chooseRun({ errors }: Place): RunBehaviour {
+  function chooseRun({ errors }: ServerSlot): RunBehaviour {
     return errors !== undefined && random() < errors.share ? errors.run : { kind: 'whole' };
   }
 
-  /** Two holders that order at once would show as a fencing number that falls. */
+  /** A fencing number that decreases reveals two simultaneous lease holders. */
   function noteOrder(serverId: string, holderId: string, fencingNumber: number): void {
-    const highest = fencing.get(serverId) ?? 0;
+    const highest = highestFencingNumbers.get(serverId) ?? 0;
     if (fencingNumber < highest) {
       const detail = `${holderId} ordered ${serverId} with ${fencingNumber} after ${highest}`;
       findings.add(promises.oneHolder, detail);
     }
-    fencing.set(serverId, Math.max(highest, fencingNumber));
+    highestFencingNumbers.set(serverId, Math.max(highest, fencingNumber));
   }
 
-  function list({ current }: Place): void {
+  function publishEntry({ current }: ServerSlot): void {
     if (current !== undefined) {
       store.put(storeKind, current.worker.id, current.worker.entryAt(current.proxy.address));
     }
   }
 
-  function listDraining({ worker, proxy }: RunningServer): void {
+  function publishDrainingEntry({ worker, proxy }: RunningServer): void {
     store.put(storeKind, worker.id, worker.entryAt(proxy.address, 'draining'));
   }
 
-  async function listAgain(): Promise<void> {
-    [...draining.values()].forEach(listDraining);
-    [...places].sort(() => random() - 0.5).forEach(list);
-    await delay(entryLapseMs);
-    const living = new Set([
+  async function republishEntries(): Promise<void> {
+    [...draining.values()].forEach(publishDrainingEntry);
+    [...slots].sort(() => random() - 0.5).forEach(publishEntry);
+    await delay(entryExpiryMs);
+    const liveIds = new Set([
       ...draining.keys(),
-      ...places.flatMap(({ current }) => current?.worker.id ?? []),
+      ...slots.flatMap(({ current }) => current?.worker.id ?? []),
     ]);
     store
       .objects(storeKind)
       .map(({ metadata }) => metadata.name)
-      .filter((name) => !living.has(name))
+      .filter((name) => !liveIds.has(name))
       .forEach((name) => store.remove(storeKind, name));
   }
 
-  async function end({ worker, proxy }: RunningServer): Promise<void> {
+  async function stopServer({ worker, proxy }: RunningServer): Promise<void> {
     proxy.close();
     await worker.stop();
   }
 
   async function crash(index: number, downMs: number): Promise<void> {
-    const place = places[index] as Place;
-    const crashed = place.current;
+    const slot = slots[index] as ServerSlot;
+    const crashed = slot.current;
     if (crashed === undefined) {
       return;
     }
-    place.current = undefined;
+    slot.current = undefined;
     const disruption = { kind: 'server', id: crashed.worker.id } as const;
-    const ended = options.disruptions.begin(disruption, 'crash');
-    await end(crashed);
-    const lapse = delay(entryLapseMs).then(() => store.remove(storeKind, crashed.worker.id));
+    const endDisruption = options.disruptions.begin(disruption, 'crash');
+    await stopServer(crashed);
+    const expiry = delay(entryExpiryMs).then(() => store.remove(storeKind, crashed.worker.id));
     await delay(downMs);
-    await startAt(place);
-    await lapse;
-    ended();
+    await startAt(slot);
+    await expiry;
+    endDisruption();
   }
 
   async function replace(index: number, unlistedMs: number): Promise<void> {
-    const place = places[index] as Place;
-    const old = place.current;
+    const slot = slots[index] as ServerSlot;
+    const old = slot.current;
     if (old === undefined) {
       return;
     }
     const { id } = old.worker;
-    const ended = options.disruptions.begin({ kind: 'server', id }, 'replaced', {
+    const endDisruption = options.disruptions.begin({ kind: 'server', id }, 'replaced', {
       isPlanned: true,
     });
-    await startAt(place);
+    await startAt(slot);
     old.worker.leavingNotice = '1';
     old.worker.reportedState = { state: 'draining' };
     options.onLeaving(id);
     await delay(unlistedMs);
     draining.set(id, old);
-    listDraining(old);
+    publishDrainingEntry(old);
     leaving.set(id, monotonicNowMs());
     await delay(options.drainMs + drainReserveMs);
     draining.delete(id);
     store.remove(storeKind, id);
-    await end(old);
-    ended();
+    await stopServer(old);
+    endDisruption();
   }
 
-  await Promise.all(places.map(startAt));
+  await Promise.all(slots.map(startAt));
 
   return {
-    placeCount: places.length,
+    slotCount: slots.length,
     crash,
     replace,
-    setLink: (index, fault) => places[index]?.current?.proxy.setFault(fault),
-    resetLinks: (index) => places[index]?.current?.proxy.resetAll(),
+    setLink: (index, fault) => slots[index]?.current?.proxy.setFault(fault),
+    resetLinks: (index) => slots[index]?.current?.proxy.resetAll(),
     setErrors(index, errors) {
-      (places[index] as Place).errors = errors;
+      (slots[index] as ServerSlot).errors = errors;
     },
-    listAgain,
-    nameLimit(index, requestsPerSecond) {
-      const worker = places[index]?.current?.worker;
+    republishEntries,
+    setLimitNotice(index, requestsPerSecond) {
+      const worker = slots[index]?.current?.worker;
       if (worker !== undefined) {
         worker.limitNotice = requestsPerSecond?.toFixed(1);
       }
     },
-    askForRest(index, restMs) {
-      const worker = places[index]?.current?.worker;
+    setBackoffNotice(index, restMs) {
+      const worker = slots[index]?.current?.worker;
       if (worker !== undefined) {
         worker.backoffNotice = restMs === undefined ? undefined : String(restMs / msPerSecond);
       }
     },
-    serverId: (index) => places[index]?.current?.worker.id ?? '',
+    serverId: (index) => slots[index]?.current?.worker.id ?? '',
     leavingSinceMs: (serverId) => leaving.get(serverId),
     async close() {
-      await Promise.all(places.flatMap(({ current }) => (current ? [end(current)] : [])));
+      await Promise.all(slots.flatMap(({ current }) => (current ? [stopServer(current)] : [])));
     },
   };
 }
--- a/packages/soak/src/bin.ts
+++ b/packages/soak/src/bin.ts
@@ -1,4 +1,4 @@
-/** `bluebell-soak`: one run of a seed. Its last line on standard output is the report, in JSON. */
+/** The program `bluebell-soak`: one run with a seed. The last line on standard output is the report as JSON. */
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import * as z from 'zod';
--- a/packages/soak/src/callers.ts
+++ b/packages/soak/src/callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers as the platform has them: each keeps its connection to a router until that is closed or broken,
- * then goes where the balancer sends it. A caller never sends a request again.
+ * Callers as on the platform: each keeps its connection to a router until that is closed or broken, then connects to a
+ * router that the balancer chooses. Callers do not retry requests.
  */
 import { Agent } from 'node:http';
 import { callRouter, type CallOutcome } from '@bluebellhitch/platform-standins';
@@ -14,7 +14,7 @@
 } from '@bluebellhitch/shared';
 import { callersHost } from './configurationPlan';
 import type { Keyring } from './keyring';
-import type { Ledger, RequestEnd, SentRequest } from './ledger';
+import type { Ledger, RequestOutcome, SentRequest } from './ledger';
 import type { RouterProcessHandle } from './routerFleet';
 
 export interface CallersOptions {
@@ -29,20 +29,20 @@
 
 export interface Callers {
   loops: readonly BackgroundLoop[];
-  /** Multiplies the rate. */
+  /** Multiplies the callers' request rate. */
   setFactor(factor: number): void;
   /** Sends a probe on a connection of its own. */
   probe(router: RouterProcessHandle, route: Route, target: string): Promise<SentRequest>;
 }
 
-/** Mean pause of a caller between an answer and its next request. */
+/** Mean pause of a caller between a response and its next request. */
 const meanPauseMs = 120;
-const leaveShare = 0.04;
-const longestStayMs = 150;
+const disconnectShare = 0.04;
+const maxDisconnectMs = 150;
 /** Statuses that promise that the request has not run and will not. */
 const notRunStatuses: readonly number[] = [408, 421, 429, 503];
 const prompt = { promptTokens: 1_000, maxOutputTokens: 100 };
-/** What a model request counts against a quota. */
+/** Tokens that a model request counts against a quota. */
 export const modelTokens = prompt.promptTokens + prompt.maxOutputTokens;
 const msPerSecond = 1_000;
 
@@ -58,7 +58,7 @@
 
   function startRequest(router: RouterProcessHandle, route: Route, isProbe: boolean): SentRequest {
     requestCount += 1;
-    return ledger.send({
+    return ledger.recordRequest({
       id: `q${requestCount}`,
       routerName: router.name,
       routeName: route.name,
@@ -66,7 +66,7 @@
       isRepeatable: route.kind === routeKinds.idempotent || route.allowsResume,
       timeoutMs: route.timeoutMs,
       isProbe,
-      shownKey: isProbe ? options.keyring.sound() : options.keyring.choose(),
+      shownKey: isProbe ? options.keyring.chooseValid() : options.keyring.choose(),
     });
   }
 
@@ -74,12 +74,15 @@
     router: RouterProcessHandle,
     route: Route,
     target: string,
-    { agent, stayMs }: { agent?: Agent; stayMs?: number },
+    { agent, disconnectAfterMs }: { agent?: Agent; disconnectAfterMs?: number },
   ): Promise<{ request: SentRequest; keepsConnection: boolean }> {
     const request = startRequest(router, route, agent === undefined);
-    const leaving = new AbortController();
-    const timer = stayMs === undefined ? undefined : setTimeout(() => leaving.abort(), stayMs);
-    const end = await callRouter({
+    const disconnect = new AbortController();
+    const timer =
+      disconnectAfterMs === undefined
+        ? undefined
+        : setTimeout(() => disconnect.abort(), disconnectAfterMs);
+    const outcome = await callRouter({
       address: router.callersAddress,
       host: callersHost,
       target,
@@ -87,14 +90,14 @@
       deadlineMs: route.timeoutMs,
       prompt: route.kind === routeKinds.stream ? prompt : undefined,
       headers: { authorization: `Token ${request.shownKey.key}` },
-      signal: leaving.signal,
+      signal: disconnect.signal,
       agent,
     });
     clearTimeout(timer);
     request.endedAtMs = monotonicNowMs();
-    request.end = leaving.signal.aborted ? { kind: 'caller-left' } : requestEndOf(end);
+    request.end = disconnect.signal.aborted ? { kind: 'caller-left' } : resolveOutcome(outcome);
     options.onEnded(request);
-    return { request, keepsConnection: !leaving.signal.aborted && keepsConnection(end) };
+    return { request, keepsConnection: !disconnect.signal.aborted && keepsConnection(outcome) };
   }
 
   function connect(): Connection | undefined {
@@ -113,10 +116,14 @@
         connection ??= connect();
         if (connection !== undefined && !signal.aborted) {
           const route = options.routes[Math.floor(random() * options.routes.length)] as Route;
-          const stayMs = random() < leaveShare ? random() * longestStayMs : undefined;
+          const disconnectAfterMs =
+            random() < disconnectShare ? random() * maxDisconnectMs : undefined;
           const { router, agent } = connection;
           const target = `${route.pathPrefix}${requestCount}`;
-          const { keepsConnection: isKept } = await call(router, route, target, { agent, stayMs });
+          const { keepsConnection: isKept } = await call(router, route, target, {
+            agent,
+            disconnectAfterMs,
+          });
           if (!isKept) {
             agent.destroy();
             connection = undefined;
@@ -136,19 +143,19 @@
   };
 }
 
-function keepsConnection(end: CallOutcome): boolean {
+function keepsConnection(outcome: CallOutcome): boolean {
   return (
-    end.kind === 'answered' &&
-    end.response.isComplete &&
-    end.response.headers.connection !== 'close'
+    outcome.kind === 'answered' &&
+    outcome.response.isComplete &&
+    outcome.response.headers.connection !== 'close'
   );
 }
 
-function requestEndOf(end: CallOutcome): RequestEnd {
-  if (end.kind === 'no-answer') {
-    return end;
+function resolveOutcome(outcome: CallOutcome): RequestOutcome {
+  if (outcome.kind === 'no-answer') {
+    return outcome;
   }
-  const { status, body, isSealed, isComplete, headers } = end.response;
+  const { status, body, isSealed, isComplete, headers } = outcome.response;
   if (!isComplete) {
     return { kind: 'broken', status, body };
   }
--- a/packages/soak/src/configurationPlan.ts
+++ b/packages/soak/src/configurationPlan.ts
@@ -1,4 +1,4 @@
-/** The configuration of a run: what it begins with, its changes, and when the store acknowledged each. */
+/** The configuration of a run: its initial state, its changes, and when the store acknowledged each. */
 import { encodeConfiguration, type StandinStore } from '@bluebellhitch/platform-standins';
 import { routeKinds, type Configuration, type Route } from '@bluebellhitch/routing';
 import { monotonicNowMs } from '@bluebellhitch/shared';
@@ -7,29 +7,29 @@
 import type { ConfigurationChange } from './script';
 
 export const callersHost = 'bank.example';
-/** Timings of routes, in milliseconds: a stream of the stand-ins takes a third of a second. */
+/** Time-outs of routes; a stream of the stand-in workers takes about 300 ms. */
 const streamTimeoutMs = 4_000;
 const plainTimeoutMs = 2_000;
 
-/** What the newest configuration says of one path, and since when. */
+/** The target of one path in the newest configuration, and since when. */
 export interface PathState {
-  /** Undefined where no route leads there. */
+  /** Undefined if no route matches the path. */
   serviceName?: ServiceName;
   acknowledgedAtMs: number;
 }
 
 export interface ConfigurationPlan {
   baseRoutes: readonly Route[];
-  /** The path that changes its service. */
+  /** The path whose service changes. */
   movingPrefix: string;
   change(change: ConfigurationChange): void;
-  /** Writes the next version, with the keys that are in force now; returns when it was acknowledged. */
+  /** Writes the next version with the currently valid keys; returns the time of the acknowledgement. */
   write(): number;
-  /** The same once more: the store has lost it. */
-  writeAgain(): number;
-  /** Paths that were changed, with what holds for each now. */
+  /** Writes the current version again after the store has lost it; returns the time of the acknowledgement. */
+  rewrite(): number;
+  /** Paths that were added or removed, each with its current state. */
   changedPaths(): ReadonlyMap<string, PathState>;
-  /** All states that the moving path has had, the oldest first. */
+  /** All states of the moving path, oldest first. */
   moves(): readonly PathState[];
 }
 
@@ -43,10 +43,10 @@
 
   function write(): number {
     version += 1 + (version % 3);
-    return writeAgain();
+    return rewrite();
   }
 
-  function writeAgain(): number {
+  function rewrite(): number {
     store.put('config', 'main', encodeConfiguration(configuration(), keyring.workspaces()));
     return monotonicNowMs();
   }
@@ -74,17 +74,17 @@
     };
   }
 
-  function noteMove(acknowledgedAtMs: number): void {
+  function recordMove(acknowledgedAtMs: number): void {
     moves.push({ serviceName: movingService, acknowledgedAtMs });
   }
 
-  noteMove(write());
+  recordMove(write());
 
   return {
     baseRoutes,
     movingPrefix: movingRoute().pathPrefix,
     write,
-    writeAgain,
+    rewrite,
     change(change) {
       const removed = change === 'remove' ? extraRoutes.shift() : undefined;
       if (removed !== undefined) {
@@ -92,7 +92,7 @@
       } else if (change === 'move') {
         movingService =
           movingService === serviceNames.counter ? serviceNames.desk : serviceNames.counter;
-        noteMove(write());
+        recordMove(write());
       } else {
         addedCount += 1;
         const route = plainRoute(`extra-${addedCount}`, routeKinds.idempotent, serviceNames.desk);
@@ -106,7 +106,7 @@
   };
 }
 
-/** For a probe of a path as well: whatever service the path leads to, it is a plain one. */
+/** A route to a plain service; probes of a path use it too, since every probed path leads to a plain service. */
 export function plainRoute(name: string, kind: Route['kind'], serviceName: ServiceName): Route {
   return {
     name,
--- a/packages/soak/src/disruptions.ts
+++ b/packages/soak/src/disruptions.ts
@@ -1,40 +1,42 @@
 /**
- * What was disturbed when. Promises with a time bound hold only for routers that were in touch: undisturbed,
- * with an undisturbed store, for the contact time before.
+ * Records which routers, servers or store were disturbed, and when. Promises with a time limit hold only for routers that
+ * had contact: router and store were undisturbed for at least the contact time before.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
-/** What a disruption strikes: one router, one server, or the store for everyone. */
-export type Subject =
+/** What a disruption affects: one router, one server, or the store for all routers. */
+export type DisruptionSubject =
   { kind: 'router'; name: string } | { kind: 'server'; id: string } | { kind: 'store' };
 
 export interface Disruption {
-  subject: Subject;
+  subject: DisruptionSubject;
   cause: string;
-  /** Planned work must cut nothing by itself. */
+  /** Planned work alone must not interrupt any request. */
   isPlanned: boolean;
   fromMs: number;
-  /** Infinite while it lasts. */
+  /** Infinity until it ends. */
   toMs: number;
 }
 
 export interface Disruptions {
-  /** Call the result when it ends. */
-  begin(subject: Subject, cause: string, options?: { isPlanned?: boolean }): () => void;
+  /** Returns a function to call when the disruption ends. */
+  begin(subject: DisruptionSubject, cause: string, options?: { isPlanned?: boolean }): () => void;
   /** Whether the router and the store were undisturbed from the contact time before `fromMs` until `toMs`. */
-  isInTouch(routerName: string, fromMs: number, toMs: number): boolean;
+  hadContact(routerName: string, fromMs: number, toMs: number): boolean;
   /** Whether the server, or a link to it, was disturbed from the contact time before `fromMs` until `toMs`. */
   isServerDisturbed(serverId: string, fromMs: number, toMs: number): boolean;
-  /** Whether nothing but planned work touched anything from the contact time before `fromMs` until `toMs`. */
-  isCalm(fromMs: number, toMs: number): boolean;
+  /** Whether there was nothing but planned work from the contact time before `fromMs` until `toMs`. */
+  hadOnlyPlannedWork(fromMs: number, toMs: number): boolean;
   all(): readonly Disruption[];
 }
 
 export function createDisruptions({ contactMs }: { contactMs: number }): Disruptions {
   const disruptions: Disruption[] = [];
 
-  const during = (fromMs: number, toMs: number) =>
-    disruptions.filter((one) => one.fromMs <= toMs && one.toMs >= fromMs - contactMs);
+  const overlapping = (fromMs: number, toMs: number) =>
+    disruptions.filter(
+      (disruption) => disruption.fromMs <= toMs && disruption.toMs >= fromMs - contactMs,
+    );
 
   return {
     begin(subject, cause, { isPlanned = false } = {}) {
@@ -45,16 +47,17 @@
         disruption.toMs = Math.min(disruption.toMs, monotonicNowMs());
       };
     },
-    isInTouch: (routerName, fromMs, toMs) =>
-      during(fromMs, toMs).every(
+    hadContact: (routerName, fromMs, toMs) =>
+      overlapping(fromMs, toMs).every(
         ({ subject }) =>
           subject.kind === 'server' || (subject.kind === 'router' && subject.name !== routerName),
       ),
     isServerDisturbed: (serverId, fromMs, toMs) =>
-      during(fromMs, toMs).some(
+      overlapping(fromMs, toMs).some(
         ({ subject }) => subject.kind === 'server' && subject.id === serverId,
       ),
-    isCalm: (fromMs, toMs) => during(fromMs, toMs).every(({ isPlanned }) => isPlanned),
+    hadOnlyPlannedWork: (fromMs, toMs) =>
+      overlapping(fromMs, toMs).every(({ isPlanned }) => isPlanned),
     all: () => disruptions,
   };
 }
--- a/packages/soak/src/findings.ts
+++ b/packages/soak/src/findings.ts
@@ -1,4 +1,4 @@
-/** Broken promises that a run has seen, each with what a reader needs to trace it. */
+/** Violations of promises that a run has found, each with the details needed to trace it. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
 export const promises = {
@@ -19,22 +19,22 @@
   leavingWord: 'leaving-word',
   restWord: 'rest-word',
 } as const;
-export type Promised = (typeof promises)[keyof typeof promises];
+export type PromiseName = (typeof promises)[keyof typeof promises];
 
 export interface SoakFinding {
-  promise: Promised;
-  /** From the start of the traffic. */
+  promise: PromiseName;
+  /** From the start of the run. */
   atMs: number;
   detail: string;
   requestId?: string;
 }
 
 export interface Findings {
-  add(promise: Promised, detail: string, requestId?: string): void;
+  add(promise: PromiseName, detail: string, requestId?: string): void;
   all(): readonly SoakFinding[];
 }
 
-/** One fault shows in many requests: the first ones tell enough. */
+/** One fault can affect many requests; the first findings are sufficient. */
 const maxFindings = 50;
 
 export function createFindings(startedAtMs: number): Findings {
--- a/packages/soak/src/fleetChecks.ts
+++ b/packages/soak/src/fleetChecks.ts
@@ -1,4 +1,4 @@
-/** Checks of what the routers do together: the budget of further attempts, configurations, recovery. */
+/** Checks across all routers: the budget of further attempts, configuration changes, and the share served. */
 import { routeKinds, type Route } from '@bluebellhitch/routing';
 import {
   createBackgroundLoop,
@@ -23,7 +23,7 @@
   findings: Findings;
   disruptions: Disruptions;
   bounds: PlatformBounds;
-  /** From a configuration's acknowledgement until it is in force. */
+  /** Time from a configuration's acknowledgement until routers must apply it. */
   applyMs: number;
   marginMs: number;
 }
@@ -32,10 +32,10 @@
 const probeIntervalMs = 400;
 const notFoundStatus = 404;
 const overQuotaStatus = 429;
-/** A request that is sent this soon after another may still overtake it on its way. */
+/** A request sent within this time after another may overtake it. */
 const overtakeMs = 250;
 
-/** Counts further attempts in each window against what the bounds allow all routers together. */
+/** Compares the further attempts in each window with the budget of all routers together. */
 export function createBudgetCheck(options: FleetChecksOptions): BackgroundLoop {
   const { ledger, bounds, findings } = options;
 
@@ -44,13 +44,13 @@
     return ledger.arrivals().filter(({ atMs }) => atMs > fromMs && atMs <= endMs);
   }
 
-  /** First arrivals of a service: the most of this window, the one before and the one half before. */
-  function requestCount(service: string, nowMs: number): number {
+  /** First arrivals at a service: the maximum over this window and those half a window and one window earlier. */
+  function maxRequestCount(service: string, nowMs: number): number {
     const { attemptWindowMs } = bounds;
     const counts = [0, attemptWindowMs / 2, attemptWindowMs].map(
       (backMs) =>
         arrivalsUntil(nowMs - backMs).filter(
-          (arrival) => arrival.serviceName === service && !isFurther(arrival),
+          (arrival) => arrival.serviceName === service && !isFurtherAttempt(arrival),
         ).length,
     );
     return Math.max(...counts);
@@ -59,19 +59,20 @@
   function check(): void {
     const nowMs = monotonicNowMs();
     const further = countBy(
-      arrivalsUntil(nowMs).filter(isFurther),
+      arrivalsUntil(nowMs).filter(isFurtherAttempt),
       ({ serviceName }) => serviceName,
     );
     further.forEach((count, service) => {
-      const allowed = bounds.attemptRatio * requestCount(service, nowMs) + bounds.attemptAllowance;
+      const allowed =
+        bounds.attemptRatio * maxRequestCount(service, nowMs) + bounds.attemptAllowance;
       if (count > allowed) {
         findings.add(promises.budget, `${service}: ${count} further attempts, ${allowed} allowed`);
       }
     });
   }
 
-  /** The first run is free, and the first prompt that is read apart. */
-  function isFurther(arrival: Arrival): boolean {
+  /** A request's first run and its first remote prefill do not count against the budget. */
+  function isFurtherAttempt(arrival: Arrival): boolean {
     const [first] = ledger
       .arrivalsOf(arrival.requestId)
       .filter(({ isPrefill }) => isPrefill === arrival.isPrefill);
@@ -86,20 +87,20 @@
   });
 }
 
-/** Asks every router for the paths that changed, and holds the answers against what must be in force. */
+/** Probes the changed paths at every router and compares the responses with the configuration that must be active. */
 export function createConfigurationCheck(options: FleetChecksOptions): BackgroundLoop {
   const { routers, plan, callers, findings, disruptions, applyMs, marginMs } = options;
-  /** By router and life: the newest move that it was seen to know, and when. */
+  /** By router and incarnation: the newest move that its responses have shown, and when. */
   const seen = new Map<string, { index: number; atMs: number }>();
 
-  const inForceSinceMs = (acknowledgedAtMs: number) => acknowledgedAtMs + applyMs + marginMs;
+  const activeSinceMs = (acknowledgedAtMs: number) => acknowledgedAtMs + applyMs + marginMs;
 
   const probe = (router: RouterProcessHandle, pathPrefix: string) =>
     callers.probe(router, probeRoute(pathPrefix), `${pathPrefix}1`);
 
-  /** The newest move that the router's answer shows. */
+  /** Records the move that a router's response shows. */
   function noteSeen(router: RouterProcessHandle, request: SentRequest, index: number): void {
-    const key = `${router.name}/${router.life()}`;
+    const key = `${router.name}/${router.incarnation()}`;
     const known = seen.get(key);
     if (known !== undefined && index < known.index && request.sentAtMs > known.atMs + overtakeMs) {
       findings.add(promises.configuration, `${router.name} went back to an older one`, request.id);
@@ -120,16 +121,16 @@
     const index = moves.findLastIndex(({ serviceName }) => serviceName === arrival.serviceName);
     noteSeen(router, request, index);
     const { acknowledgedAtMs } = newest;
-    const isDue = request.sentAtMs > inForceSinceMs(acknowledgedAtMs);
-    const isInTouch = disruptions.isInTouch(router.name, acknowledgedAtMs, request.sentAtMs);
-    if (index < moves.length - 1 && isDue && isInTouch) {
+    const isDue = request.sentAtMs > activeSinceMs(acknowledgedAtMs);
+    const hadContact = disruptions.hadContact(router.name, acknowledgedAtMs, request.sentAtMs);
+    if (index < moves.length - 1 && isDue && hadContact) {
       findings.add(promises.configuration, `${router.name} does not know a move`, request.id);
     }
   }
 
   async function probeChanged(router: RouterProcessHandle): Promise<void> {
     const due = [...plan.changedPaths()].filter(
-      ([, state]) => monotonicNowMs() > inForceSinceMs(state.acknowledgedAtMs),
+      ([, state]) => monotonicNowMs() > activeSinceMs(state.acknowledgedAtMs),
     );
     await Promise.all(
       due.map(async ([path, state]) => {
@@ -139,7 +140,7 @@
           request.end?.kind !== 'no-answer' &&
           isKnown !== (state.serviceName !== undefined) &&
           plan.changedPaths().get(path) === state &&
-          disruptions.isInTouch(router.name, state.acknowledgedAtMs, request.sentAtMs)
+          disruptions.hadContact(router.name, state.acknowledgedAtMs, request.sentAtMs)
         ) {
           const detail = `${router.name}: ${path} is ${isKnown ? 'still' : 'not'} there`;
           findings.add(promises.configuration, detail, request.id);
@@ -160,8 +161,8 @@
 }
 
 /**
- * The share of callers' requests sent since `fromMs` that had a whole answer; for probes 404 may be right, and what shows
- * no key in force or lies beyond a quota need not be served.
+ * The share of callers' requests sent since `fromMs` that got a complete response. Leaves out probes, for which 404 can be
+ * correct, and requests that need not be served: without a valid key, above a quota, or from a disconnected caller.
  */
 export function servedShare(ledger: Ledger, fromMs: number): number {
   const sent = [...ledger.requests()].filter(
--- a/packages/soak/src/keyring.ts
+++ b/packages/soak/src/keyring.ts
@@ -1,6 +1,6 @@
 /**
- * API keys of the run's workspaces: which are in force, since when, and which were taken away. Keys are given and taken
- * away all through a run; callers use those that are in force everywhere, and now and then one that is not.
+ * API keys of the run's workspaces: which are valid, since when, and which were revoked. Keys are issued and revoked
+ * throughout a run; callers mostly use keys that are valid at all routers, and sometimes one that is not.
  */
 import type { WireWorkspace } from '@bluebellhitch/platform-standins';
 import { quotaUnits, type WorkspaceQuota } from '@bluebellhitch/routing';
@@ -12,30 +12,33 @@
   type Random,
 } from '@bluebellhitch/shared';
 
-/** The key that a request shows. */
-export interface ShownKey {
+/** The key that a request presents. */
+export interface PresentedKey {
   key: string;
-  /** Undefined for a key that was never given. */
+  /** Undefined for a key that was never issued. */
   workspaceName?: string;
+  /** When the key was issued; Infinity until the store has acknowledged it. */
   givenAtMs: number;
+  /** When the key was revoked; Infinity while it is valid. */
   takenAtMs: number;
 }
 
 export interface Keyring {
   workspaces(): WireWorkspace[];
-  choose(): ShownKey;
-  /** One that is in force everywhere, of a workspace without a quota. */
-  sound(): ShownKey;
+  /** A key for a caller's request: usually a valid one, sometimes a revoked or unknown one. */
+  choose(): PresentedKey;
+  /** A key that is valid at all routers, of a workspace without a quota. */
+  chooseValid(): PresentedKey;
   rotation(write: () => number): BackgroundLoop;
 }
 
 export interface KeyringOptions {
   random: Random;
-  /** From a change's acknowledgement until every router that serves keys knows it. */
+  /** Time from the acknowledgement of a change until every router that accepts keys applies it. */
   revocationMs: number;
 }
 
-/** The workspace that asks for more than its quota; at three routers its slack is four seconds of the rate. */
+/** The workspace whose demand exceeds its quota; with three routers its slack is four seconds of the rate. */
 export const limitedWorkspace = 'limited';
 export const limitedQuota: WorkspaceQuota = {
   unit: quotaUnits.tokens,
@@ -43,33 +46,38 @@
   burst: 2_500,
   plainTokens: 100,
 };
-const openWorkspaces = ['bonds', 'letters-desk'];
-const names = [...openWorkspaces, limitedWorkspace];
+const unlimitedWorkspaces = ['bonds', 'letters-desk'];
+const workspaceNames = [...unlimitedWorkspaces, limitedWorkspace];
 const limitedShare = 0.1;
 const unknownShare = 0.03;
-const takenShare = 0.05;
+const revokedShare = 0.05;
 const rotationMs = 1_500;
 
 export function createKeyring({ random, revocationMs }: KeyringOptions): Keyring {
-  let number = 0;
-  const keys: ShownKey[] = names.map((name) => newKey(name, -Infinity));
+  let keyCount = 0;
+  const keys: PresentedKey[] = workspaceNames.map((name) => newKey(name, -Infinity));
 
-  function newKey(workspaceName: string, givenAtMs: number): ShownKey {
-    number += 1;
-    return { key: `key-${workspaceName}-${number}`, workspaceName, givenAtMs, takenAtMs: Infinity };
+  function newKey(workspaceName: string, givenAtMs: number): PresentedKey {
+    keyCount += 1;
+    return {
+      key: `key-${workspaceName}-${keyCount}`,
+      workspaceName,
+      givenAtMs,
+      takenAtMs: Infinity,
+    };
   }
 
-  const drawn = <Item>(items: readonly Item[]) => items[Math.floor(random() * items.length)];
-  const held = () => keys.filter(({ takenAtMs }) => takenAtMs === Infinity);
-  const isSettled = ({ givenAtMs }: ShownKey) => givenAtMs + revocationMs < monotonicNowMs();
+  const pickRandom = <Item>(items: readonly Item[]) => items[Math.floor(random() * items.length)];
+  const activeKeys = () => keys.filter(({ takenAtMs }) => takenAtMs === Infinity);
+  const isSettled = ({ givenAtMs }: PresentedKey) => givenAtMs + revocationMs < monotonicNowMs();
   const settledOf = (name: string) =>
-    held().filter((one) => one.workspaceName === name && isSettled(one));
+    activeKeys().filter((one) => one.workspaceName === name && isSettled(one));
 
-  function newestOf(name: string): ShownKey {
-    return settledOf(name).at(-1) as ShownKey;
+  function newestOf(name: string): PresentedKey {
+    return settledOf(name).at(-1) as PresentedKey;
   }
 
-  function unknownKey(): ShownKey {
+  function unknownKey(): PresentedKey {
     return {
       key: `nobody-${Math.floor(random() * 1e9)}`,
       givenAtMs: Infinity,
@@ -77,51 +85,51 @@
     };
   }
 
-  /** Where a workspace has a newer one in force everywhere, its oldest goes. */
-  function takeOne(): ShownKey | undefined {
-    const oldest = names.flatMap((name) => {
+  /** The oldest key of a workspace that has a newer one valid at all routers. */
+  function pickRevocable(): PresentedKey | undefined {
+    const oldest = workspaceNames.flatMap((name) => {
       const settled = settledOf(name);
       return settled.length > 1 ? settled.slice(0, 1) : [];
     });
-    return drawn(oldest);
+    return pickRandom(oldest);
   }
 
   return {
     workspaces: () =>
-      names.map((name) => ({
+      workspaceNames.map((name) => ({
         name,
-        apiKeys: held()
+        apiKeys: activeKeys()
           .filter(({ workspaceName }) => workspaceName === name)
           .map(({ key }) => key),
         quota: name === limitedWorkspace ? limitedQuota : undefined,
       })),
     choose() {
       const draw = random();
-      const taken = drawn(keys.filter(({ takenAtMs }) => takenAtMs < Infinity));
+      const revoked = pickRandom(keys.filter(({ takenAtMs }) => takenAtMs < Infinity));
       if (draw < unknownShare) {
         return unknownKey();
       }
-      if (draw < unknownShare + takenShare && taken !== undefined) {
-        return taken;
+      if (draw < unknownShare + revokedShare && revoked !== undefined) {
+        return revoked;
       }
       const isLimited = random() < limitedShare;
-      return newestOf(isLimited ? limitedWorkspace : (drawn(openWorkspaces) as string));
+      return newestOf(isLimited ? limitedWorkspace : (pickRandom(unlimitedWorkspaces) as string));
     },
-    sound: () => newestOf(drawn(openWorkspaces) as string),
+    chooseValid: () => newestOf(pickRandom(unlimitedWorkspaces) as string),
     rotation: (write) =>
       createBackgroundLoop(async (signal) => {
         while (!signal.aborted) {
           await delay(rotationMs, signal);
-          const given = newKey(drawn(names) as string, Infinity);
-          const taken = takeOne();
-          if (taken !== undefined) {
-            taken.takenAtMs = monotonicNowMs();
+          const issued = newKey(pickRandom(workspaceNames) as string, Infinity);
+          const revoked = pickRevocable();
+          if (revoked !== undefined) {
+            revoked.takenAtMs = monotonicNowMs();
           }
-          keys.push(given);
+          keys.push(issued);
           const acknowledgedAtMs = write();
-          given.givenAtMs = acknowledgedAtMs;
-          if (taken !== undefined) {
-            taken.takenAtMs = acknowledgedAtMs;
+          issued.givenAtMs = acknowledgedAtMs;
+          if (revoked !== undefined) {
+            revoked.takenAtMs = acknowledgedAtMs;
           }
         }
       }),
--- a/packages/soak/src/ledger.ts
+++ b/packages/soak/src/ledger.ts
@@ -1,18 +1,18 @@
-/** What callers sent and were told, and what reached backend servers, by request. */
+/** Records callers' requests with their outcomes, and arrivals at backend servers, by request. */
 import type { WorkerArrival } from '@bluebellhitch/platform-standins';
 import type { RouteKind } from '@bluebellhitch/routing';
 import { monotonicNowMs } from '@bluebellhitch/shared';
-import type { ShownKey } from './keyring';
+import type { PresentedKey } from './keyring';
 
-/** How a request looked to its caller. */
-export type RequestEnd =
-  /** A whole answer with the seal of a backend server. */
+/** The outcome of a request as its caller saw it. */
+export type RequestOutcome =
+  /** A complete response with the seal of a backend server. */
   | { kind: 'whole'; status: number; body: string }
-  /** The router's own word that nothing ran and nothing will. */
+  /** A response of the router itself which states that the request has not run and will not. */
   | { kind: 'refused'; status: number; retryAfterMs?: number }
-  /** Any other answer of the router's own. */
+  /** Any other response of the router itself. */
   | { kind: 'failed'; status: number }
-  /** An answer that began and did not come to its end. */
+  /** A response that began but did not complete. */
   | { kind: 'broken'; status: number; body: string }
   | { kind: 'no-answer'; detail: string; isNewConnection: boolean }
   | { kind: 'caller-left' };
@@ -25,12 +25,12 @@
   /** A stream that may be resumed, or an idempotent request: it may run more than once. */
   isRepeatable: boolean;
   timeoutMs: number;
-  shownKey: ShownKey;
-  /** Sent to see which configuration a router has: 404 may be right. */
+  shownKey: PresentedKey;
+  /** Sent to find out which configuration a router has; 404 can be correct. */
   isProbe: boolean;
   sentAtMs: number;
   endedAtMs?: number;
-  end?: RequestEnd;
+  end?: RequestOutcome;
 }
 
 export interface Arrival extends WorkerArrival {
@@ -40,13 +40,13 @@
 }
 
 export interface Ledger {
-  send(request: Omit<SentRequest, 'sentAtMs'>): SentRequest;
-  arrive(arrival: Omit<Arrival, 'atMs'>): void;
+  recordRequest(request: Omit<SentRequest, 'sentAtMs'>): SentRequest;
+  recordArrival(arrival: Omit<Arrival, 'atMs'>): void;
   request(id: string): SentRequest | undefined;
   requests(): IterableIterator<SentRequest>;
   arrivals(): readonly Arrival[];
   arrivalsOf(requestId: string): readonly Arrival[];
-  /** Times that a server ran the request, prompts read apart not counted. */
+  /** How many times servers ran the request, not counting remote prefills. */
   runCount(requestId: string): number;
 }
 
@@ -62,12 +62,12 @@
   const arrivalsOf = (requestId: string) => byRequest.get(requestId) ?? [];
 
   return {
-    send(fields) {
+    recordRequest(fields) {
       const request: SentRequest = { ...fields, sentAtMs: monotonicNowMs() };
       requests.set(request.id, request);
       return request;
     },
-    arrive(fields) {
+    recordArrival(fields) {
       const arrival: Arrival = { ...fields, atMs: monotonicNowMs() };
       arrivals.push(arrival);
       byRequest.set(arrival.requestId, [...arrivalsOf(arrival.requestId), arrival]);
--- a/packages/soak/src/limitChecks.ts
+++ b/packages/soak/src/limitChecks.ts
@@ -1,4 +1,4 @@
-/** Checks that routers together keep to the limits that backend servers name, by what reached those servers. */
+/** Checks by arrivals that all routers together respect the limits that backend servers announce. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { Disruptions } from './disruptions';
 import { promises, type Findings } from './findings';
@@ -12,38 +12,38 @@
 }
 
 export interface LimitChecks {
-  /** The server names a limit from now on; call the result when it no longer does. */
+  /** The server announces a limit from now on; call the returned function when it stops. */
   begin(serverId: string, requestsPerSecond: number): () => void;
-  /** Looks at all limits once a run is over. */
+  /** Checks all limits at the end of a run. */
   checkAll(): void;
 }
 
-interface NamedLimit {
+interface LimitNotice {
   serverId: string;
   requestsPerSecond: number;
   fromMs: number;
-  /** Infinite while it lasts. */
+  /** Infinity until the server stops announcing it. */
   toMs: number;
 }
 
 const windowMs = 4_000;
 const msPerSecond = 1_000;
-/** Routers have half a second from the first answer that names it. */
-const toldMs = 500;
+/** All routers must apply a limit within half a second after the first response that announces it. */
+const noticeDelayMs = 500;
 const toleratedFactor = 1.5;
 const toleratedRequests = 5;
 
 export function createLimitChecks(options: LimitChecksOptions): LimitChecks {
   const { ledger, findings, disruptions, marginMs } = options;
-  const limits: NamedLimit[] = [];
+  const limits: LimitNotice[] = [];
 
-  /** Of routers that were in touch all the while; what a disturbed link held up may come at once. */
-  function arrivalsAtMs({ serverId, fromMs, toMs }: NamedLimit): number[] {
+  /** Counts only routers that had contact throughout; a disturbed link may deliver delayed requests all at once. */
+  function arrivalsAtMs({ serverId, fromMs, toMs }: LimitNotice): number[] {
     const ofServer = ledger.arrivals().filter((arrival) => arrival.serverId === serverId);
-    const firstToldMs = ofServer.find(({ atMs }) => atMs >= fromMs)?.atMs ?? Infinity;
-    const boundFromMs = firstToldMs + toldMs + marginMs;
+    const firstNoticeMs = ofServer.find(({ atMs }) => atMs >= fromMs)?.atMs ?? Infinity;
+    const effectiveFromMs = firstNoticeMs + noticeDelayMs + marginMs;
     return ofServer
-      .filter(({ atMs }) => atMs >= boundFromMs && atMs <= toMs)
+      .filter(({ atMs }) => atMs >= effectiveFromMs && atMs <= toMs)
       .filter(({ requestId, atMs }) => isCounted(requestId, serverId, fromMs, atMs))
       .map(({ atMs }) => atMs);
   }
@@ -51,21 +51,21 @@
   function isCounted(requestId: string, serverId: string, fromMs: number, atMs: number): boolean {
     const routerName = ledger.request(requestId)?.routerName ?? '';
     return (
-      disruptions.isInTouch(routerName, fromMs, atMs) &&
+      disruptions.hadContact(routerName, fromMs, atMs) &&
       !disruptions.isServerDisturbed(serverId, fromMs, atMs)
     );
   }
 
-  function check(limit: NamedLimit): void {
+  function check(limit: LimitNotice): void {
     const times = arrivalsAtMs(limit);
-    const most = (toleratedFactor * limit.requestsPerSecond * windowMs) / msPerSecond;
-    const fullest = Math.max(
+    const maxRequests = (toleratedFactor * limit.requestsPerSecond * windowMs) / msPerSecond;
+    const maxInWindow = Math.max(
       0,
       ...times.map((endMs) => times.filter((at) => at <= endMs && at > endMs - windowMs).length),
     );
-    if (fullest > most + toleratedRequests) {
-      const named = `${limit.serverId} had named ${limit.requestsPerSecond} requests a second`;
-      findings.add(promises.serverLimit, `${named} and got ${fullest} in ${windowMs} ms`);
+    if (maxInWindow > maxRequests + toleratedRequests) {
+      const notice = `${limit.serverId} had named ${limit.requestsPerSecond} requests a second`;
+      findings.add(promises.serverLimit, `${notice} and got ${maxInWindow} in ${windowMs} ms`);
     }
   }
 
--- a/packages/soak/src/loopbackProxy.ts
+++ b/packages/soak/src/loopbackProxy.ts
@@ -1,6 +1,6 @@
 /**
- * A TCP proxy on loopback between a process and one peer. Faults act on the bytes in flight, as a network
- * does: a silent link holds them back, and delivers them once it is sound again.
+ * A TCP proxy on loopback between a process and one peer. Faults act on the bytes in flight, as in a network: a silent link
+ * holds bytes back and delivers them once the fault ends.
  */
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import { monotonicNowMs } from '@bluebellhitch/shared';
@@ -8,16 +8,16 @@
 export type LinkFault =
   | { kind: 'none' }
   | { kind: 'delay'; delayMs: number }
-  /** Nothing passes, in either direction. */
+  /** Blocks both directions. */
   | { kind: 'silent' }
-  /** Only what the peer sends passes. */
+  /** Blocks outgoing bytes; bytes from the peer pass. */
   | { kind: 'one-way' };
 
 export interface LoopbackProxy {
   /** `ip:port`. */
   address: string;
   setFault(fault: LinkFault): void;
-  /** Breaks every connection that is open. */
+  /** Resets all open connections. */
   resetAll(): void;
   close(): void;
 }
@@ -28,77 +28,77 @@
   target: string;
 }
 
-type Parcel = { kind: 'data'; bytes: Buffer } | { kind: 'end' };
+type Chunk = { kind: 'data'; bytes: Buffer } | { kind: 'end' };
 
 /** One direction of one connection. */
 interface Flow {
-  /** Sent by whoever opened the connection. */
+  /** Whether the sender is the side that opened the connection. */
   isOutgoing: boolean;
-  waiting: { parcel: Parcel; dueAtMs: number }[];
+  queue: { chunk: Chunk; dueAtMs: number }[];
   from: Socket;
   to: Socket;
   timer?: NodeJS.Timeout;
 }
 
-/** A sender whose bytes are held back is paused, as by a full window. */
-const maxWaitingParcels = 64;
+/** Above this length of a queue the sender is paused, as by a full TCP window. */
+const maxQueuedChunks = 64;
 
 export async function startLoopbackProxy(options: LoopbackProxyOptions): Promise<LoopbackProxy> {
   const [targetHost = '', targetPort = '0'] = options.target.split(':');
   const flows = new Set<Flow>();
   let fault: LinkFault = { kind: 'none' };
 
-  function isHeld({ isOutgoing }: Flow): boolean {
+  function isBlocked({ isOutgoing }: Flow): boolean {
     return fault.kind === 'silent' || (fault.kind === 'one-way' && isOutgoing);
   }
 
-  function pump(flow: Flow): void {
+  function processQueue(flow: Flow): void {
     clearTimeout(flow.timer);
     flow.timer = undefined;
-    while (!isHeld(flow)) {
-      const [next] = flow.waiting;
+    while (!isBlocked(flow)) {
+      const [next] = flow.queue;
       if (next === undefined) {
         flow.from.resume();
         return;
       }
       const waitMs = next.dueAtMs - monotonicNowMs();
       if (waitMs > 0) {
-        flow.timer = setTimeout(() => pump(flow), waitMs);
+        flow.timer = setTimeout(() => processQueue(flow), waitMs);
         return;
       }
-      flow.waiting.shift();
-      deliver(flow, next.parcel);
+      flow.queue.shift();
+      deliver(flow, next.chunk);
     }
   }
 
-  function deliver({ to }: Flow, parcel: Parcel): void {
+  function deliver({ to }: Flow, chunk: Chunk): void {
     if (to.destroyed) {
       return;
     }
-    if (parcel.kind === 'data') {
-      to.write(parcel.bytes);
+    if (chunk.kind === 'data') {
+      to.write(chunk.bytes);
     } else {
       to.end();
     }
   }
 
-  function take(flow: Flow, parcel: Parcel): void {
+  function enqueue(flow: Flow, chunk: Chunk): void {
     const delayMs = fault.kind === 'delay' ? fault.delayMs : 0;
-    flow.waiting.push({ parcel, dueAtMs: monotonicNowMs() + delayMs });
-    if (flow.waiting.length > maxWaitingParcels) {
+    flow.queue.push({ chunk, dueAtMs: monotonicNowMs() + delayMs });
+    if (flow.queue.length > maxQueuedChunks) {
       flow.from.pause();
     }
     if (flow.timer === undefined) {
-      pump(flow);
+      processQueue(flow);
     }
   }
 
-  function join(from: Socket, to: Socket, isOutgoing: boolean): void {
-    const flow: Flow = { isOutgoing, waiting: [], from, to };
+  function forward(from: Socket, to: Socket, isOutgoing: boolean): void {
+    const flow: Flow = { isOutgoing, queue: [], from, to };
     flows.add(flow);
-    from.on('data', (bytes) => take(flow, { kind: 'data', bytes }));
-    from.on('end', () => take(flow, { kind: 'end' }));
-    // `close` follows with `hadError`.
+    from.on('data', (bytes) => enqueue(flow, { kind: 'data', bytes }));
+    from.on('end', () => enqueue(flow, { kind: 'end' }));
+    // Handled by `close`, which follows with `hadError`.
     from.on('error', () => undefined);
     from.on('close', (hadError) => {
       if (hadError) {
@@ -118,8 +118,8 @@
       allowHalfOpen: true,
       noDelay: true,
     });
-    join(incoming, outgoing, true);
-    join(outgoing, incoming, false);
+    forward(incoming, outgoing, true);
+    forward(outgoing, incoming, false);
   });
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
@@ -138,7 +138,7 @@
     address: `${options.host}:${(server.address() as AddressInfo).port}`,
     setFault(next) {
       fault = next;
-      [...flows].forEach(pump);
+      [...flows].forEach(processQueue);
     },
     resetAll,
     close() {
@@ -148,7 +148,7 @@
   };
 }
 
-/** The runtime cannot reset a connection that it is ending: its handle would stay open for good. */
+/** Node.js cannot reset a socket after `end()`: its handle would never close. */
 function reset(socket: Socket): void {
   if (socket.writableEnded) {
     socket.destroy();
--- a/packages/soak/src/operator.ts
+++ b/packages/soak/src/operator.ts
@@ -1,16 +1,16 @@
-/** Carries out a script's operations, and notes what each disturbs for how long. */
+/** Executes a script's operations and records what each disturbs and for how long. */
 import { delay, monotonicNowMs } from '@bluebellhitch/shared';
 import type { StandinStore } from '@bluebellhitch/platform-standins';
 import type { BackendServers } from './backendServers';
 import type { Callers } from './callers';
 import type { ConfigurationPlan } from './configurationPlan';
-import type { Disruptions, Subject } from './disruptions';
+import type { Disruptions, DisruptionSubject } from './disruptions';
 import { promises, type Findings } from './findings';
 import type { LimitChecks } from './limitChecks';
 import type { RouterProcessHandle } from './routerFleet';
 import type { Operation } from './script';
-import type { StoreCopies } from './storeCopies';
-import type { WordChecks } from './wordChecks';
+import type { StoreBackups } from './storeBackups';
+import type { NoticeChecks } from './noticeChecks';
 
 export interface OperatorOptions {
   store: StandinStore;
@@ -21,70 +21,76 @@
   disruptions: Disruptions;
   findings: Findings;
   limits: LimitChecks;
-  words: Pick<WordChecks, 'rests'>;
-  copies: StoreCopies;
-  /** From the signal to stop until the process must have ended. */
+  notices: Pick<NoticeChecks, 'beginBackoff'>;
+  backups: StoreBackups;
+  /** Time from the stop signal until the process must have ended. */
   graceMs: number;
   marginMs: number;
 }
 
 export interface Operator {
-  /** Resolves when the operation is over, with all that it changed set back. */
-  carryOut(operation: Operation): Promise<void>;
+  /** Resolves when the operation has finished and its effects are reverted. */
+  execute(operation: Operation): Promise<void>;
 }
 
 /**
- * Until the runtime has loaded a program's first module, any signal ends the process, whatever the program does:
- * 0.1 s on a calm machine, more than 0.8 s on a busy one. A program that takes longer than this has a fault.
+ * Until Node.js has loaded a program's first module, any signal ends the process, whatever the program does. That takes
+ * 0.1 s on an idle machine and more than 0.8 s on a busy one; a program that takes longer than this is faulty.
  */
-const signalsTakenMs = 5_000;
+const reloadHandlerTimeoutMs = 5_000;
 const signalPollMs = 20;
 
 type OperationOf<Kind extends Operation['kind']> = Extract<Operation, { kind: Kind }>;
 type LinkOperation = Pick<OperationOf<'store-link'>, 'link' | 'forMs'>;
-/** Several operations on one thing: each takes its turn, so that none undoes another's half. */
-type Turns = Map<string, Promise<void>>;
+/** By target, the last queued operation. Operations on one target run in order, so that none reverts another halfway. */
+type PendingOperations = Map<string, Promise<void>>;
 
 export function createOperator(options: OperatorOptions): Operator {
   const { store, servers, routers, callers, plan, disruptions, findings } = options;
-  const turns: Turns = new Map();
+  const pending: PendingOperations = new Map();
   const routerAt = (index: number) => routers[index] as RouterProcessHandle;
-  const subjectOf = ({ name }: RouterProcessHandle): Subject => ({ kind: 'router', name });
-  const serverAt = (place: number): Subject => ({ kind: 'server', id: servers.serverId(place) });
+  const routerSubject = ({ name }: RouterProcessHandle): DisruptionSubject => ({
+    kind: 'router',
+    name,
+  });
+  const serverSubject = (slot: number): DisruptionSubject => ({
+    kind: 'server',
+    id: servers.serverId(slot),
+  });
 
-  function inTurn(key: string, run: () => Promise<void>): Promise<void> {
-    const turn = (turns.get(key) ?? Promise.resolve()).then(run);
-    turns.set(key, turn);
-    return turn;
+  function runInOrder(key: string, run: () => Promise<void>): Promise<void> {
+    const done = (pending.get(key) ?? Promise.resolve()).then(run);
+    pending.set(key, done);
+    return done;
   }
 
-  /** Disturbs the subject for a time. */
+  /** Disturbs the subject for `forMs`. */
   async function disturb(
-    subject: Subject,
+    subject: DisruptionSubject,
     cause: string,
     forMs: number,
     { begin, end }: { begin: () => void; end: () => void },
   ): Promise<void> {
-    const ended = disruptions.begin(subject, cause);
+    const endDisruption = disruptions.begin(subject, cause);
     begin();
     await delay(forMs);
     end();
-    ended();
+    endDisruption();
   }
 
   async function killRouter(router: RouterProcessHandle, downMs: number): Promise<void> {
-    const ended = disruptions.begin(subjectOf(router), 'killed');
+    const endDisruption = disruptions.begin(routerSubject(router), 'killed');
     await router.kill();
     await delay(downMs);
     router.start();
-    ended();
+    endDisruption();
   }
 
   async function stopRouter(router: RouterProcessHandle, downMs: number): Promise<void> {
-    const ended = disruptions.begin(subjectOf(router), 'stopped', { isPlanned: true });
-    // A process that has not begun to serve has nothing to finish: the signal may end it as it is.
+    const endDisruption = disruptions.begin(routerSubject(router), 'stopped', { isPlanned: true });
+    // A process that has not begun to serve has no requests to finish; the signal may end it at once.
     const hasServed = router.wasReady();
-    const stopped = await router.stop();
+    const stopped = await router.stopGracefully();
     if (stopped !== undefined && hasServed) {
       const { exitCode, tookMs } = stopped;
       if (exitCode !== 0 || tookMs > options.graceMs + options.marginMs) {
@@ -94,37 +100,43 @@
     }
     await delay(downMs);
     router.start();
-    ended();
+    endDisruption();
   }
 
   function freezeRouter(router: RouterProcessHandle, forMs: number): Promise<void> {
-    return disturb(subjectOf(router), 'frozen', forMs, { begin: router.freeze, end: router.thaw });
+    return disturb(routerSubject(router), 'frozen', forMs, {
+      begin: router.freeze,
+      end: router.resume,
+    });
   }
 
-  /** Signals to one process follow each other; what strikes its links goes on meanwhile. */
+  /** Signals to one process are sent in order; faults of its links can overlap with them. */
   function signalRouter(index: number, run: (router: RouterProcessHandle) => Promise<void>) {
-    return inTurn(`router ${index}`, () => run(routerAt(index)));
+    return runInOrder(`router ${index}`, () => run(routerAt(index)));
   }
 
   async function reloadRouter(router: RouterProcessHandle): Promise<void> {
     const startedAtMs = monotonicNowMs();
-    while (!router.takesReloads() && monotonicNowMs() - startedAtMs < signalsTakenMs) {
+    while (!router.handlesReload() && monotonicNowMs() - startedAtMs < reloadHandlerTimeoutMs) {
       await delay(signalPollMs);
     }
-    const ended = disruptions.begin(subjectOf(router), 'reloaded', { isPlanned: true });
+    const endDisruption = disruptions.begin(routerSubject(router), 'reloaded', { isPlanned: true });
     router.reload();
-    ended();
+    endDisruption();
   }
 
-  async function resetLinks(subject: Subject, reset: () => void): Promise<void> {
-    const ended = disruptions.begin(subject, 'connections reset');
+  async function resetLinks(subject: DisruptionSubject, reset: () => void): Promise<void> {
+    const endDisruption = disruptions.begin(subject, 'connections reset');
     reset();
-    ended();
+    endDisruption();
   }
 
-  function linkStore(router: RouterProcessHandle, { link, forMs }: LinkOperation): Promise<void> {
-    return inTurn(`store link ${router.name}`, () =>
-      disturb(subjectOf(router), `store link ${link.kind}`, forMs, {
+  function disturbStoreLink(
+    router: RouterProcessHandle,
+    { link, forMs }: LinkOperation,
+  ): Promise<void> {
+    return runInOrder(`store link ${router.name}`, () =>
+      disturb(routerSubject(router), `store link ${link.kind}`, forMs, {
         begin: () => router.storeLink.setFault(link),
         end: () => router.storeLink.setFault({ kind: 'none' }),
       }),
@@ -132,7 +144,7 @@
   }
 
   function failStore({ fault, forMs }: OperationOf<'store-fault'>): Promise<void> {
-    return inTurn('store', () =>
+    return runInOrder('store', () =>
       disturb({ kind: 'store' }, `store ${fault.kind}`, forMs, {
         begin: () => store.setFault(fault),
         end: () => store.setFault({ kind: 'none' }),
@@ -140,9 +152,9 @@
     );
   }
 
-  function linkServer({ server, link, forMs }: OperationOf<'server-link'>): Promise<void> {
-    return inTurn(`server ${server}`, () =>
-      disturb(serverAt(server), link.kind, forMs, {
+  function disturbServerLink({ server, link, forMs }: OperationOf<'server-link'>): Promise<void> {
+    return runInOrder(`server ${server}`, () =>
+      disturb(serverSubject(server), link.kind, forMs, {
         begin: () => servers.setLink(server, link),
         end: () => servers.setLink(server, { kind: 'none' }),
       }),
@@ -151,7 +163,7 @@
 
   function failServer(operation: OperationOf<'server-errors'>): Promise<void> {
     const { server, run, forMs } = operation;
-    return disturb(serverAt(server), run.kind, forMs, {
+    return disturb(serverSubject(server), run.kind, forMs, {
       begin: () => servers.setErrors(server, operation),
       end: () => servers.setErrors(server, undefined),
     });
@@ -159,41 +171,41 @@
 
   async function restoreStore(operation: OperationOf<'restore-store'>): Promise<void> {
     const { ageMs, awayMs, againMs } = operation;
-    const ended = disruptions.begin({ kind: 'store' }, 'store back from a copy');
+    const endDisruption = disruptions.begin({ kind: 'store' }, 'store back from a copy');
     store.setFault({ kind: 'reset' });
     await delay(awayMs);
-    store.restore(options.copies.atAge(awayMs + ageMs));
+    store.restore(options.backups.atAge(awayMs + ageMs));
     store.setFault({ kind: 'none' });
     await delay(againMs);
-    plan.writeAgain();
-    await servers.listAgain();
-    ended();
+    plan.rewrite();
+    await servers.republishEntries();
+    endDisruption();
   }
 
-  /** A server that is replaced meanwhile takes its limit with it. */
+  /** If the server is replaced in the meantime, its limit ends with it. */
   async function limitServer(operation: OperationOf<'limit-server'>): Promise<void> {
     const { server, requestsPerSecond, forMs } = operation;
     const id = servers.serverId(server);
-    servers.nameLimit(server, requestsPerSecond);
-    const ended = options.limits.begin(id, requestsPerSecond);
+    servers.setLimitNotice(server, requestsPerSecond);
+    const endLimit = options.limits.begin(id, requestsPerSecond);
     await delay(forMs);
     if (servers.serverId(server) === id) {
-      servers.nameLimit(server, undefined);
+      servers.setLimitNotice(server, undefined);
     }
-    ended();
+    endLimit();
   }
 
-  /** A server that is replaced meanwhile takes its word with it. */
-  async function restServer(operation: OperationOf<'rest-server'>): Promise<void> {
+  /** If the server is replaced in the meantime, its backoff notice ends with it. */
+  async function requestServerBackoff(operation: OperationOf<'rest-server'>): Promise<void> {
     const { server, restMs, forMs } = operation;
     const id = servers.serverId(server);
-    servers.askForRest(server, restMs);
-    const ended = options.words.rests(id, restMs);
+    servers.setBackoffNotice(server, restMs);
+    const endBackoff = options.notices.beginBackoff(id, restMs);
     await delay(forMs);
     if (servers.serverId(server) === id) {
-      servers.askForRest(server, undefined);
+      servers.setBackoffNotice(server, undefined);
     }
-    ended();
+    endBackoff();
   }
 
   async function raiseLoad({ factor, forMs }: OperationOf<'burst'>): Promise<void> {
@@ -211,31 +223,32 @@
       'freeze-router': ({ router, forMs }) =>
         signalRouter(router, (process) => freezeRouter(process, forMs)),
       'reload-router': ({ router }) => signalRouter(router, reloadRouter),
-      'store-link': (operation) => linkStore(routerAt(operation.router), operation),
+      'store-link': (operation) => disturbStoreLink(routerAt(operation.router), operation),
       'store-reset': ({ router }) =>
-        resetLinks(subjectOf(routerAt(router)), routerAt(router).storeLink.resetAll),
+        resetLinks(routerSubject(routerAt(router)), routerAt(router).storeLink.resetAll),
       'store-fault': failStore,
-      'restore-store': (operation) => inTurn('store', () => restoreStore(operation)),
+      'restore-store': (operation) => runInOrder('store', () => restoreStore(operation)),
       'forget-history': () => resetLinks({ kind: 'store' }, store.compact),
       'crash-server': ({ server, downMs }) =>
-        inTurn(`server ${server}`, () => servers.crash(server, downMs)),
+        runInOrder(`server ${server}`, () => servers.crash(server, downMs)),
       'replace-server': ({ server }) =>
-        inTurn(`server ${server}`, () => servers.replace(server, 0)),
+        runInOrder(`server ${server}`, () => servers.replace(server, 0)),
       'leave-unlisted': ({ server, unlistedMs }) =>
-        inTurn(`server ${server}`, () => servers.replace(server, unlistedMs)),
-      'rest-server': (operation) => inTurn(`rest ${operation.server}`, () => restServer(operation)),
-      'server-link': linkServer,
+        runInOrder(`server ${server}`, () => servers.replace(server, unlistedMs)),
+      'rest-server': (operation) =>
+        runInOrder(`rest ${operation.server}`, () => requestServerBackoff(operation)),
+      'server-link': disturbServerLink,
       'server-reset': ({ server }) =>
-        resetLinks(serverAt(server), () => servers.resetLinks(server)),
+        resetLinks(serverSubject(server), () => servers.resetLinks(server)),
       'server-errors': failServer,
       'limit-server': (operation) =>
-        inTurn(`limit ${operation.server}`, () => limitServer(operation)),
+        runInOrder(`limit ${operation.server}`, () => limitServer(operation)),
       'change-configuration': ({ change }) => Promise.resolve(plan.change(change)),
       burst: raiseLoad,
     };
 
   return {
-    carryOut(operation) {
+    execute(operation) {
       const handler = handlers[operation.kind] as (one: Operation) => Promise<void>;
       return handler(operation);
     },
--- a/packages/soak/src/requestChecks.ts
+++ b/packages/soak/src/requestChecks.ts
@@ -1,4 +1,4 @@
-/** Checks of single requests, made as each ends or reaches a server, and once more at the end of a run. */
+/** Checks of single requests: when they end, when they reach a server, and again at the end of a run. */
 import { routeKinds } from '@bluebellhitch/routing';
 import { assertNever, monotonicNowMs } from '@bluebellhitch/shared';
 import { failureText } from '@bluebellhitch/platform-standins';
@@ -15,24 +15,24 @@
   servers: () => BackendServers | undefined;
   workspaces: WorkspaceChecks;
   drainMs: number;
-  /** Added to every bound: the way over loopback, and a busy machine. */
+  /** Added to every time limit, for loopback latency and a busy machine. */
   marginMs: number;
 }
 
 export interface RequestChecks {
   onArrival(arrival: Arrival): void;
   onEnded(request: SentRequest): void;
-  /** What only the end of a run shows: refused requests that ran later, and those never answered. */
+  /** Checks that need the whole run: requests that ran after a refusal, and those without any outcome. */
   checkAll(): void;
 }
 
-/** From a route's time-out to its last word; from a caller's leaving to the end of its work. */
-const lastWordMs = 500;
-const mostAttempts = 2;
+/** From a route's time-out to the end of its response; from a caller's disconnect to the end of work for it. */
+const responseGraceMs = 500;
+const maxAttempts = 2;
 const okStatus = 200;
 const notFoundStatus = 404;
 const unknownKeyStatus = 401;
-/** A connection that ends this soon after it was opened may have crossed the process's end. */
+/** A connection that ends within this time after opening may have coincided with the end of the process. */
 const crossingMs = 200;
 
 export function createRequestChecks(options: RequestChecksOptions): RequestChecks {
@@ -40,9 +40,9 @@
 
   function checkRuns(request: SentRequest): void {
     const runs = ledger.runCount(request.id);
-    const most = request.isRepeatable ? mostAttempts : 1;
-    if (runs > most) {
-      const detail = `${request.routeName} ran ${runs} times, ${most} allowed`;
+    const maxRuns = request.isRepeatable ? maxAttempts : 1;
+    if (runs > maxRuns) {
+      const detail = `${request.routeName} ran ${runs} times, ${maxRuns} allowed`;
       findings.add(promises.atMostOnce, detail, request.id);
     }
   }
@@ -65,72 +65,73 @@
     const lateMs = arrival.atMs - leavingSinceMs - options.drainMs;
     if (
       lateMs > marginMs &&
-      disruptions.isInTouch(request.routerName, leavingSinceMs, arrival.atMs)
+      disruptions.hadContact(request.routerName, leavingSinceMs, arrival.atMs)
     ) {
       const detail = `${request.routerName} sent to ${arrival.serverId} ${Math.round(lateMs)} ms late`;
       findings.add(promises.drain, detail, request.id);
     }
   }
 
-  function checkLeft(arrival: Arrival, request: SentRequest): void {
+  function checkDisconnectedCaller(arrival: Arrival, request: SentRequest): void {
     const { end, endedAtMs = Infinity } = request;
     if (end?.kind !== 'caller-left') {
       return;
     }
-    const lateMs = arrival.atMs - endedAtMs - lastWordMs;
-    // A link that let nothing through delivers once it is whole what was sent before the caller left.
-    const wasHeldUp = disruptions.isServerDisturbed(
+    const lateMs = arrival.atMs - endedAtMs - responseGraceMs;
+    // A link that was blocked delivers what was sent before the caller disconnected once the fault ends.
+    const wasLinkDisturbed = disruptions.isServerDisturbed(
       arrival.serverId,
       request.sentAtMs,
       arrival.atMs,
     );
-    const isInTouch = disruptions.isInTouch(request.routerName, endedAtMs, arrival.atMs);
-    if (lateMs > marginMs && isInTouch && !wasHeldUp) {
+    const hadContact = disruptions.hadContact(request.routerName, endedAtMs, arrival.atMs);
+    if (lateMs > marginMs && hadContact && !wasLinkDisturbed) {
       findings.add(promises.inTime, 'sent to a server after its caller had left', request.id);
     }
   }
 
   function checkTime(request: SentRequest, endedAtMs: number): void {
-    const lateMs = endedAtMs - request.sentAtMs - request.timeoutMs - lastWordMs;
+    const lateMs = endedAtMs - request.sentAtMs - request.timeoutMs - responseGraceMs;
     if (
       lateMs > marginMs &&
-      disruptions.isInTouch(request.routerName, request.sentAtMs, endedAtMs)
+      disruptions.hadContact(request.routerName, request.sentAtMs, endedAtMs)
     ) {
       findings.add(promises.inTime, `${Math.round(lateMs)} ms after its last moment`, request.id);
     }
   }
 
-  function checkAnswer(request: SentRequest, body: string, status: number): void {
-    if (!wholeBodies(request, status).includes(body)) {
+  function checkResponse(request: SentRequest, body: string, status: number): void {
+    if (!expectedBodies(request, status).includes(body)) {
       const detail = `${status} with another body: ${JSON.stringify(body.slice(0, 80))}`;
       findings.add(promises.wholeAnswer, detail, request.id);
     }
   }
 
-  /** What the servers that the request reached would have answered with this status. */
-  function wholeBodies({ id, routeKind }: SentRequest, status: number): string[] {
+  /** Complete bodies of the servers that the request reached, for this status. */
+  function expectedBodies({ id, routeKind }: SentRequest, status: number): string[] {
     const serverIds = ledger.arrivalsOf(id).map(({ serverId }) => serverId);
     if (status !== okStatus) {
       return serverIds.map(failureText);
     }
     return routeKind === routeKinds.stream
-      ? [wholeStream(id)]
+      ? [expectedStream(id)]
       : serverIds.map((serverId) => plainText(id, serverId));
   }
 
-  /** With only planned work about, no request may end without its answer. */
-  function checkCalm(request: SentRequest, detail: string): void {
-    if (disruptions.isCalm(request.sentAtMs, request.endedAtMs ?? monotonicNowMs())) {
+  /** During planned work alone, every request must get its response. */
+  function checkPlannedWork(request: SentRequest, detail: string): void {
+    if (disruptions.hadOnlyPlannedWork(request.sentAtMs, request.endedAtMs ?? monotonicNowMs())) {
       findings.add(promises.leaving, `${request.routerName}: ${detail}`, request.id);
     }
   }
 
-  function checkNoAnswer(request: SentRequest, isNewConnection: boolean, detail: string): void {
+  function checkNoResponse(request: SentRequest, isNewConnection: boolean, detail: string): void {
     const tookMs = (request.endedAtMs ?? 0) - request.sentAtMs;
-    const wasPassedOn = ledger.arrivalsOf(request.id).length > 0;
-    // A request on a kept connection may cross the router's close, one on a new one its end.
-    if (wasPassedOn || (isNewConnection && tookMs > crossingMs + marginMs)) {
-      checkCalm(request, `no answer: ${detail}`);
+    const wasForwarded = ledger.arrivalsOf(request.id).length > 0;
+    // A request on a reused connection may coincide with the router closing it, one on a new connection with the end of
+    // the process.
+    if (wasForwarded || (isNewConnection && tookMs > crossingMs + marginMs)) {
+      checkPlannedWork(request, `no answer: ${detail}`);
     }
   }
 
@@ -145,7 +146,7 @@
     if (status === notFoundStatus) {
       findings.add(promises.configuration, `404 on ${request.routeName}`, request.id);
     }
-    checkCalm(request, `failed with ${status}`);
+    checkPlannedWork(request, `failed with ${status}`);
   }
 
   function checkEnd(request: SentRequest): void {
@@ -155,7 +156,7 @@
       case 'caller-left':
         return;
       case 'whole':
-        checkAnswer(request, end.body, end.status);
+        checkResponse(request, end.body, end.status);
         return;
       case 'refused':
         checkRefusal(request);
@@ -164,10 +165,10 @@
         checkFailed(request, end.status);
         return;
       case 'broken':
-        checkCalm(request, `broken answer ${end.status}`);
+        checkPlannedWork(request, `broken answer ${end.status}`);
         return;
       case 'no-answer':
-        checkNoAnswer(request, end.isNewConnection, end.detail);
+        checkNoResponse(request, end.isNewConnection, end.detail);
         return;
       default:
         assertNever(end);
@@ -183,7 +184,7 @@
       }
       checkRuns(request);
       checkDrain(arrival, request);
-      checkLeft(arrival, request);
+      checkDisconnectedCaller(arrival, request);
       options.workspaces.onArrival(arrival, request);
     },
     onEnded(request) {
@@ -202,7 +203,7 @@
   };
 }
 
-function wholeStream(requestId: string): string {
+function expectedStream(requestId: string): string {
   return Array.from({ length: streamEvents }, (_none, index) => index + 1)
     .map((event) => `id: ${event}\ndata: ${eventText(requestId, event)}\n\n`)
     .join('');
--- a/packages/soak/src/routerFleet.ts
+++ b/packages/soak/src/routerFleet.ts
@@ -1,4 +1,4 @@
-/** The router processes: started, signalled and watched. Only processes that were started here are ended. */
+/** Starts, signals and monitors the router processes. It ends only processes that it started itself. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, openSync, readFileSync, writeFileSync } from 'node:fs';
 import { request } from 'node:http';
@@ -12,19 +12,19 @@
 
 export interface RouterFleetOptions {
   count: number;
-  /** First two numbers of the loopback addresses, so that runs beside each other do not meet. */
+  /** First three numbers of the loopback addresses; concurrent runs need different ones. */
   hostPrefix: string;
   /** `ip:port`. */
   storeAddress: string;
   bounds: PlatformBounds;
-  /** The built program. */
+  /** Path of the built router. */
   programPath: string;
-  /** Loaded into each process: it ends with the run that started it. */
+  /** A module loaded into each process, which makes it exit when this process ends. */
   exitWithParentPath: string;
-  /** For settings files and logs. */
+  /** Directory for settings files and logs. */
   directory: string;
-  /** A process ended that nobody had signalled. */
-  onOwnEnd: (routerName: string, how: string) => void;
+  /** Called when a process exits without a signal from the fleet. */
+  onUnexpectedExit: (routerName: string, how: string) => void;
 }
 
 /** How a process ended after a signal to stop. */
@@ -37,23 +37,23 @@
   name: string;
   /** `ip:port` for callers. */
   callersAddress: string;
-  /** Between this router and the store. */
+  /** Proxy between this router and the store. */
   storeLink: LoopbackProxy;
-  /** Counts starts. */
-  life(): number;
-  /** Whether the process has a listener for changed settings; before that the signal ends it. */
-  takesReloads(): boolean;
+  /** How many times the process has been started. */
+  incarnation(): number;
+  /** Whether the process handles the reload signal; until then the signal ends it. */
+  handlesReload(): boolean;
   isRunning(): boolean;
-  /** It has answered that it is ready, in this life. */
+  /** Whether this incarnation has reported that it is ready. */
   wasReady(): boolean;
-  /** The balancer sends callers here: readiness was not missed twice. */
+  /** Whether the balancer sends callers here: fewer than two consecutive readiness polls have failed. */
   isInRotation(): boolean;
   start(): void;
   kill(): Promise<void>;
-  /** Asks for a graceful stop; undefined where the process does not run. */
-  stop(): Promise<StopResult | undefined>;
+  /** Requests a graceful stop; undefined if the process is not running. */
+  stopGracefully(): Promise<StopResult | undefined>;
   freeze(): void;
-  thaw(): void;
+  resume(): void;
   reload(): void;
 }
 
@@ -66,10 +66,10 @@
 const memoryBytes = 300 * 1_048_576;
 const maxDescriptors = 4_000;
 const maxSeeds = 3;
-/** The balancer asks this often, and two misses take a router out. */
-const readyIntervalMs = 500;
+/** Interval of the balancer's readiness polls; two failures take a router out of rotation. */
+const readyPollIntervalMs = 500;
 const readyTimeoutMs = 450;
-const missesUntilOut = 2;
+const maxMissedPolls = 2;
 const signalNumbers = { hangUp: constants.signals.SIGHUP };
 
 export async function startRouterFleet(options: RouterFleetOptions): Promise<RouterFleet> {
@@ -78,7 +78,10 @@
   routers.forEach(({ start }) => start());
   const balancer = createBackgroundLoop(async (signal) => {
     while (!signal.aborted) {
-      await Promise.all([delay(readyIntervalMs, signal), ...routers.map(({ ask }) => ask())]);
+      await Promise.all([
+        delay(readyPollIntervalMs, signal),
+        ...routers.map(({ pollReadiness }) => pollReadiness()),
+      ]);
     }
   });
   balancer.start();
@@ -101,46 +104,46 @@
   ips: readonly string[],
   ip: string,
   index: number,
-): Promise<RouterProcessHandle & { ask(): Promise<void> }> {
+): Promise<RouterProcessHandle & { pollReadiness(): Promise<void> }> {
   const name = `router-${index}`;
   const storeLink = await startLoopbackProxy({ host: ip, target: options.storeAddress });
-  const settings = settingsOf(options, { name, ip, ips, storeAddress: storeLink.address });
+  const settings = createSettings(options, { name, ip, ips, storeAddress: storeLink.address });
   const settingsPath = join(options.directory, `${name}.json`);
   let child: ChildProcess | undefined;
-  let life = 0;
-  let misses = missesUntilOut;
-  let isExpectedToEnd = false;
+  let incarnation = 0;
+  let missedPolls = maxMissedPolls;
+  let isExitExpected = false;
   let wasReady = false;
 
   function start(): void {
     if (child !== undefined) {
       return;
     }
-    life += 1;
-    isExpectedToEnd = false;
+    incarnation += 1;
+    isExitExpected = false;
     wasReady = false;
     writeFileSync(settingsPath, encodeSettings(settings));
     const started = spawnRouter(options, name, settingsPath);
     child = started;
     started.once('exit', (code, signal) => {
       child = undefined;
-      if (!isExpectedToEnd) {
-        options.onOwnEnd(name, signal ?? `exit code ${code}`);
+      if (!isExitExpected) {
+        options.onUnexpectedExit(name, signal ?? `exit code ${code}`);
       }
     });
   }
 
-  async function end(signal: 'SIGKILL' | 'SIGTERM'): Promise<StopResult | undefined> {
-    const ending = child;
-    if (ending === undefined) {
+  async function terminate(signal: 'SIGKILL' | 'SIGTERM'): Promise<StopResult | undefined> {
+    const running = child;
+    if (running === undefined) {
       return undefined;
     }
-    isExpectedToEnd = true;
+    isExitExpected = true;
     const signalledAtMs = monotonicNowMs();
     const exited = new Promise<number | null>((resolve) => {
-      ending.once('exit', (code) => resolve(code));
+      running.once('exit', (code) => resolve(code));
     });
-    ending.kill(signal);
+    running.kill(signal);
     const exitCode = await exited;
     return { exitCode, tookMs: monotonicNowMs() - signalledAtMs };
   }
@@ -149,30 +152,30 @@
     name,
     callersAddress: `${ip}:${ports.callers}`,
     storeLink,
-    life: () => life,
-    takesReloads: () => child?.pid !== undefined && catchesSignal(child.pid, signalNumbers.hangUp),
-    isRunning: () => child !== undefined && !isExpectedToEnd,
+    incarnation: () => incarnation,
+    handlesReload: () => child?.pid !== undefined && catchesSignal(child.pid, signalNumbers.hangUp),
+    isRunning: () => child !== undefined && !isExitExpected,
     wasReady: () => wasReady,
-    isInRotation: () => misses < missesUntilOut,
+    isInRotation: () => missedPolls < maxMissedPolls,
     start,
     async kill() {
-      await end('SIGKILL');
+      await terminate('SIGKILL');
     },
-    stop: () => end('SIGTERM'),
+    stopGracefully: () => terminate('SIGTERM'),
     freeze() {
       child?.kill('SIGSTOP');
     },
-    thaw() {
+    resume() {
       child?.kill('SIGCONT');
     },
     reload() {
       writeFileSync(settingsPath, encodeSettings(settings));
       child?.kill('SIGHUP');
     },
-    async ask() {
+    async pollReadiness() {
       const isReadyNow = await isReady(`${ip}:${ports.ready}`);
       wasReady ||= isReadyNow;
-      misses = isReadyNow ? 0 : misses + 1;
+      missedPolls = isReadyNow ? 0 : missedPolls + 1;
     },
   };
 }
@@ -190,7 +193,7 @@
   return child;
 }
 
-function settingsOf(
+function createSettings(
   { bounds }: RouterFleetOptions,
   router: { name: string; ip: string; ips: readonly string[]; storeAddress: string },
 ): PlatformSettings {
@@ -209,31 +212,31 @@
   };
 }
 
-/** Whether the process has a handler of its own for the signal, as the kernel tells. */
+/** Whether the process has installed a handler for the signal, according to the kernel. */
 function catchesSignal(pid: number, signalNumber: number): boolean {
   try {
     const status = readFileSync(`/proc/${pid}/status`, 'utf8');
     const mask = BigInt(`0x${/^SigCgt:\s*([0-9a-f]+)$/m.exec(status)?.[1] ?? '0'}`);
     return BigInt.asUintN(1, mask / 2n ** BigInt(signalNumber - 1)) === 1n;
   } catch {
-    // It has ended meanwhile.
+    // The process has ended in the meantime.
     return false;
   }
 }
 
 function isReady(address: string): Promise<boolean> {
   return new Promise((resolve) => {
-    const asking = request(
+    const readyRequest = request(
       `http://${address}/ready`,
       { agent: false, timeout: readyTimeoutMs },
-      (answer) => {
-        answer.resume();
-        resolve(answer.statusCode === 200);
+      (response) => {
+        response.resume();
+        resolve(response.statusCode === 200);
       },
     );
-    asking.on('timeout', () => asking.destroy());
-    asking.on('error', () => resolve(false));
-    asking.on('close', () => resolve(false));
-    asking.end();
+    readyRequest.on('timeout', () => readyRequest.destroy());
+    readyRequest.on('error', () => resolve(false));
+    readyRequest.on('close', () => resolve(false));
+    readyRequest.end();
   });
 }
--- a/packages/soak/src/script.ts
+++ b/packages/soak/src/script.ts
@@ -1,4 +1,4 @@
-/** Seeded scripts: which fault or planned work strikes what, and when. The same seed makes the same script. */
+/** Seeded scripts of faults and planned work. The same seed gives the same script. */
 import type { RunBehaviour, StoreFault } from '@bluebellhitch/platform-standins';
 import { createSeededRandom, type Random } from '@bluebellhitch/shared';
 import type { LinkFault } from './loopbackProxy';
@@ -12,11 +12,11 @@
   | { kind: 'store-reset'; router: number }
   | { kind: 'store-fault'; fault: StoreFault; forMs: number }
   | { kind: 'forget-history' }
-  /** The store is away for a moment and comes back as it was; what it has lost is written again later. */
+  /** The store goes down for `awayMs` and returns from a backup; lost objects are written again after `againMs`. */
   | { kind: 'restore-store'; ageMs: number; awayMs: number; againMs: number }
   | { kind: 'crash-server'; server: number; downMs: number }
   | { kind: 'replace-server'; server: number }
-  /** As before, but the store hears of it only after a while. */
+  /** As `replace-server`, but the store entry changes only after `unlistedMs`. */
   | { kind: 'leave-unlisted'; server: number; unlistedMs: number }
   | { kind: 'rest-server'; server: number; restMs: number; forMs: number }
   | { kind: 'server-link'; server: number; link: LinkFault; forMs: number }
@@ -30,7 +30,7 @@
 export type ConfigurationChange = (typeof configurationChanges)[number];
 
 export interface ScriptStep {
-  /** From the start of the traffic. */
+  /** From the start of the load. */
   atMs: number;
   operation: Operation;
 }
@@ -42,7 +42,7 @@
   serverCount: number;
 }
 
-/** Planned work alone must cut nothing: some scripts hold nothing else. */
+/** Planned work alone must not interrupt requests; scripts of kind `planned` contain nothing else. */
 export type ScriptKind = 'planned' | 'mixed';
 
 export interface SoakScript {
@@ -50,34 +50,36 @@
   steps: ScriptStep[];
 }
 
-/** One seed in this many. */
-const plannedEvery = 4;
-/** Operations in ten seconds: few enough that some meet a calm fleet, many enough that some overlap. */
+/** One of this many seeds gives a script of planned work. */
+const seedsPerPlannedScript = 4;
+/** Few enough that some operations meet an undisturbed fleet, many enough that some overlap. */
 const operationsPer10Seconds = 9;
 const msPer10Seconds = 10_000;
 const limitSeedOffset = 104_729;
-const copySeedOffset = 1_299_709;
-const wordSeedOffset = 15_485_863;
+const restoreSeedOffset = 1_299_709;
+const noticeSeedOffset = 15_485_863;
 const plannedKinds = ['stop-router', 'reload-router', 'replace-server', 'change-configuration'];
 
 export function createScript(options: ScriptOptions): SoakScript {
   const { seed, durationMs } = options;
   const random = createSeededRandom(seed);
-  // The first numbers of near seeds are alike.
+  // Discards the first number: for nearby seeds it is nearly the same.
   random();
-  const kind = seed % plannedEvery === 0 ? 'planned' : 'mixed';
+  const kind = seed % seedsPerPlannedScript === 0 ? 'planned' : 'mixed';
   const count = Math.max(3, Math.round((durationMs / msPer10Seconds) * operationsPer10Seconds));
   const steps = Array.from({ length: count }, () => ({
     atMs: Math.round(random() * durationMs),
     operation: pickOperation(kind, options, random),
   }));
-  const apart = [limitSteps, copySteps, wordSteps].flatMap((stepsOf) => stepsOf(options));
-  const all = kind === 'mixed' ? [...steps, ...apart] : steps;
+  const independentSteps = [createLimitSteps, createRestoreSteps, createNoticeSteps].flatMap(
+    (createSteps) => createSteps(options),
+  );
+  const all = kind === 'mixed' ? [...steps, ...independentSteps] : steps;
   return { kind, steps: all.sort((left, right) => left.atMs - right.atMs) };
 }
 
-/** Drawn apart, so that the rest of a seed's script is as it was before servers named limits. */
-function limitSteps({ seed, durationMs, serverCount }: ScriptOptions): ScriptStep[] {
+/** Uses its own random generator, so that the other steps of a seed do not depend on limits. */
+function createLimitSteps({ seed, durationMs, serverCount }: ScriptOptions): ScriptStep[] {
   const random = createSeededRandom(seed + limitSeedOffset);
   random();
   const count = Math.max(1, Math.round(durationMs / msPer10Seconds));
@@ -92,9 +94,9 @@
   }));
 }
 
-/** Drawn apart as well: in one script of two the store comes back from an older copy, in some of them twice. */
-function copySteps({ seed, durationMs }: ScriptOptions): ScriptStep[] {
-  const random = createSeededRandom(seed + copySeedOffset);
+/** Uses its own random generator. Half of the scripts restore the store from a backup, some of them twice. */
+function createRestoreSteps({ seed, durationMs }: ScriptOptions): ScriptStep[] {
+  const random = createSeededRandom(seed + restoreSeedOffset);
   random();
   const count = Math.max(0, Math.floor(random() * 4) - 1);
   return Array.from({ length: count }, () => ({
@@ -108,9 +110,9 @@
   }));
 }
 
-/** Drawn apart too: servers that want rest, and servers that leave with the store late to hear of it. */
-function wordSteps({ seed, durationMs, serverCount }: ScriptOptions): ScriptStep[] {
-  const random = createSeededRandom(seed + wordSeedOffset);
+/** Uses its own random generator. Servers that announce a backoff, and servers that leave before the store knows it. */
+function createNoticeSteps({ seed, durationMs, serverCount }: ScriptOptions): ScriptStep[] {
+  const random = createSeededRandom(seed + noticeSeedOffset);
   random();
   const atMs = () => Math.round(random() * durationMs);
   const server = () => Math.floor(random() * serverCount);
@@ -137,47 +139,46 @@
 }
 
 function pickOperation(kind: ScriptKind, options: ScriptOptions, random: Random): Operation {
-  const makers = operationMakers(options, random);
-  const fitting = makers.filter(({ name }) => kind === 'mixed' || plannedKinds.includes(name));
-  return pick(fitting, random).make();
+  const factories = createOperationFactories(options, random);
+  const allowed = factories.filter(({ name }) => kind === 'mixed' || plannedKinds.includes(name));
+  return pick(allowed, random).create();
 }
 
-function operationMakers(options: ScriptOptions, random: Random) {
+function createOperationFactories(options: ScriptOptions, random: Random) {
   const router = () => Math.floor(random() * options.routerCount);
   const server = () => Math.floor(random() * options.serverCount);
-  const between = (leastMs: number, mostMs: number) =>
-    Math.round(leastMs + random() * (mostMs - leastMs));
+  const between = (minMs: number, maxMs: number) => Math.round(minMs + random() * (maxMs - minMs));
   const link = (): LinkFault =>
     pick<LinkFault>(
       [{ kind: 'silent' }, { kind: 'one-way' }, { kind: 'delay', delayMs: between(50, 400) }],
       random,
     );
   const forMs = () => between(500, 4_000);
-  const maker = <Kind extends Operation['kind']>(
+  const factory = <Kind extends Operation['kind']>(
     name: Kind,
     fields: () => Omit<Extract<Operation, { kind: Kind }>, 'kind'>,
-  ) => ({ name: name as string, make: () => ({ kind: name, ...fields() }) as Operation });
+  ) => ({ name: name as string, create: () => ({ kind: name, ...fields() }) as Operation });
   return [
-    maker('kill-router', () => ({ router: router(), downMs: between(0, 1_500) })),
-    maker('stop-router', () => ({ router: router(), downMs: between(0, 1_500) })),
-    maker('freeze-router', () => ({ router: router(), forMs: between(200, 2_500) })),
-    maker('reload-router', () => ({ router: router() })),
-    maker('store-link', () => ({ router: router(), link: link(), forMs: forMs() })),
-    maker('store-reset', () => ({ router: router() })),
-    maker('store-fault', () => ({ fault: storeFault(random), forMs: forMs() })),
-    maker('forget-history', () => ({})),
-    maker('crash-server', () => ({ server: server(), downMs: between(200, 3_000) })),
-    maker('replace-server', () => ({ server: server() })),
-    maker('server-link', () => ({ server: server(), link: link(), forMs: forMs() })),
-    maker('server-reset', () => ({ server: server() })),
-    maker('server-errors', () => ({
+    factory('kill-router', () => ({ router: router(), downMs: between(0, 1_500) })),
+    factory('stop-router', () => ({ router: router(), downMs: between(0, 1_500) })),
+    factory('freeze-router', () => ({ router: router(), forMs: between(200, 2_500) })),
+    factory('reload-router', () => ({ router: router() })),
+    factory('store-link', () => ({ router: router(), link: link(), forMs: forMs() })),
+    factory('store-reset', () => ({ router: router() })),
+    factory('store-fault', () => ({ fault: storeFault(random), forMs: forMs() })),
+    factory('forget-history', () => ({})),
+    factory('crash-server', () => ({ server: server(), downMs: between(200, 3_000) })),
+    factory('replace-server', () => ({ server: server() })),
+    factory('server-link', () => ({ server: server(), link: link(), forMs: forMs() })),
+    factory('server-reset', () => ({ server: server() })),
+    factory('server-errors', () => ({
       server: server(),
       run: serverError(random),
       share: 0.1 + random() * 0.4,
       forMs: forMs(),
     })),
-    maker('change-configuration', () => ({ change: pick(configurationChanges, random) })),
-    maker('burst', () => ({ factor: 2 + random() * 2, forMs: forMs() })),
+    factory('change-configuration', () => ({ change: pick(configurationChanges, random) })),
+    factory('burst', () => ({ factor: 2 + random() * 2, forMs: forMs() })),
   ];
 }
 
--- a/packages/soak/src/soakRun.ts
+++ b/packages/soak/src/soakRun.ts
@@ -1,7 +1,6 @@
 /**
- * One run of a seed: routers as processes before stand-ins of the store and of backend servers, callers
- * under load, and a script of faults. Promises are checked while it runs; at its end everything is calm again
- * and must be served as before.
+ * One soak run with a seed: router processes with stand-ins of the store and of backend servers, concurrent callers, and a
+ * script of faults. Promises are checked during the run; after the last fault, requests must be served as before.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -22,24 +21,24 @@
 import { createRequestChecks } from './requestChecks';
 import { startRouterFleet, type RouterFleet } from './routerFleet';
 import { createScript, type ScriptStep } from './script';
-import { createStoreCopies } from './storeCopies';
-import { createWordChecks } from './wordChecks';
+import { createStoreBackups } from './storeBackups';
+import { createNoticeChecks } from './noticeChecks';
 import { createWorkspaceChecks } from './workspaceChecks';
 
 export interface SoakOptions {
   seed: number;
-  /** How long faults go on. */
+  /** Duration of the fault script. */
   durationMs: number;
   routerCount: number;
   callerCount: number;
   /** First three numbers of the routers' addresses on loopback, such as `127.20.0`. */
   hostPrefix: string;
-  /** The built router. */
+  /** Path of the built router. */
   programPath: string;
   exitWithParentPath: string;
-  /** Takes settings, logs, and the script with its findings. */
+  /** Directory for settings, logs, and the record of the run. */
   directory: string;
-  /** Added to each bound in time. */
+  /** Added to each time limit, in milliseconds. */
   marginMs: number;
 }
 
@@ -49,11 +48,11 @@
   requests: number;
   served: number;
   findings: readonly SoakFinding[];
-  /** Longest time that the run itself was held up: beyond the margin its own clock is in doubt. */
+  /** Longest delay of this process's event loop; above `marginMs` the measured times are unreliable. */
   longestHoldUpMs: number;
 }
 
-/** Those of the users' smaller deployments; a shorter grace makes runs shorter. */
+/** As in the users' smaller deployments, but with a shorter grace period, which makes runs shorter. */
 const bounds = {
   contactMs: 3_000,
   graceMs: 6_000,
@@ -64,16 +63,16 @@
   revocationMs: 4_000,
   quotaSlack: { windowMs: 8_000, overageShare: 0.1, amount: 6_000 },
 } as const satisfies PlatformBounds;
-/** So that keys do not change what else a seed draws. */
+/** A separate seed for keys, so that they do not affect the other draws of a seed. */
 const keySeedOffset = 7_919;
 const drainMs = 2_000;
 const applyMs = 2_000;
-const startBoundMs = 15_000;
-/** After the last fault: entries lapse, servers are trusted again, routers are in rotation. */
-const recoverMs = 6_000;
+const startTimeoutMs = 15_000;
+/** Time after the last fault in which entries expire, servers recover trust, and routers return to rotation. */
+const recoveryMs = 6_000;
 const recoveredWindowMs = 3_000;
-const leastRecoveredShare = 0.95;
-const lastAnswersMs = 5_000;
+const minRecoveredShare = 0.95;
+const lastResponsesTimeoutMs = 5_000;
 const pollMs = 50;
 const nsPerMs = 1e6;
 
@@ -86,18 +85,18 @@
   const disruptions = createDisruptions({ contactMs: bounds.contactMs });
   const findings = createFindings(monotonicNowMs());
   let servers: BackendServers | undefined;
-  const ledger = createLedger({ onArrival: (arrival) => checks.onArrival(arrival) });
-  const workspaces = createWorkspaceChecks({
+  const ledger = createLedger({ onArrival: (arrival) => requestChecks.onArrival(arrival) });
+  const workspaceChecks = createWorkspaceChecks({
     ...{ ledger, findings, modelTokens, marginMs },
     revocationMs: bounds.revocationMs,
     quotaSlack: bounds.quotaSlack,
   });
-  const checks = createRequestChecks({
-    ...{ ledger, findings, disruptions, drainMs, marginMs, workspaces },
+  const requestChecks = createRequestChecks({
+    ...{ ledger, findings, disruptions, drainMs, marginMs, workspaces: workspaceChecks },
     servers: () => servers,
   });
-  const limits = createLimitChecks({ ledger, findings, disruptions, marginMs });
-  const words = createWordChecks({ ledger, findings, disruptions });
+  const limitChecks = createLimitChecks({ ledger, findings, disruptions, marginMs });
+  const noticeChecks = createNoticeChecks({ ledger, findings, disruptions });
   const keyring = createKeyring({
     random: createSeededRandom(seed + keySeedOffset),
     revocationMs: bounds.revocationMs,
@@ -105,57 +104,60 @@
   const plan = createConfigurationPlan(store, keyring);
   servers = await startBackendServers({
     ...{ host: '127.0.0.1', store, ledger, disruptions, findings, random, drainMs },
-    onLeaving: words.leaves,
+    onLeaving: noticeChecks.noteLeaving,
   });
   const fleet = await startRouterFleet({
     ...options,
     count: routerCount,
     storeAddress: store.address,
     bounds,
-    onOwnEnd: (router, how) => findings.add(promises.ownEnd, `${router}: ${how}`),
+    onUnexpectedExit: (router, how) => findings.add(promises.ownEnd, `${router}: ${how}`),
   });
   const callers = createCallers({
     ...{ count: options.callerCount, routers: fleet.routers, routes: plan.baseRoutes },
-    ...{ ledger, random, keyring, onEnded: checks.onEnded },
+    ...{ ledger, random, keyring, onEnded: requestChecks.onEnded },
   });
   const script = createScript({
     seed,
     durationMs: options.durationMs,
     routerCount,
-    serverCount: servers.placeCount,
+    serverCount: servers.slotCount,
   });
-  const copies = createStoreCopies(store);
+  const backups = createStoreBackups(store);
   const operator = createOperator({
     ...{ store, servers, routers: fleet.routers, callers, plan, disruptions, findings, marginMs },
-    ...{ limits, words, copies },
+    ...{ limits: limitChecks, notices: noticeChecks, backups },
     graceMs: bounds.graceMs,
   });
-  const fleetChecks = {
+  const fleetCheckOptions = {
     ...{ routers: fleet.routers, plan, callers, ledger, findings, disruptions },
     ...{ bounds, applyMs, marginMs },
   };
   const loops = [
     ...callers.loops,
-    createBudgetCheck(fleetChecks),
-    createConfigurationCheck(fleetChecks),
+    createBudgetCheck(fleetCheckOptions),
+    createConfigurationCheck(fleetCheckOptions),
     keyring.rotation(plan.write),
-    workspaces.quotaLoop,
-    copies,
+    workspaceChecks.quotaLoop,
+    backups,
   ];
 
-  await untilReady(fleet);
+  await waitUntilReady(fleet);
   lag.enable();
   loops.forEach((loop) => loop.start());
   await playScript(script.steps, operator, options.durationMs);
   await checkRecovery({ fleet, ledger, findings });
-  await Promise.race([Promise.all(loops.map((loop) => loop.stop())), delay(lastAnswersMs)]);
-  checks.checkAll();
-  limits.checkAll();
-  words.checkAll();
+  await Promise.race([
+    Promise.all(loops.map((loop) => loop.stop())),
+    delay(lastResponsesTimeoutMs),
+  ]);
+  requestChecks.checkAll();
+  limitChecks.checkAll();
+  noticeChecks.checkAll();
   lag.disable();
   await Promise.all(
     fleet.routers.map((_router, router) =>
-      operator.carryOut({ kind: 'stop-router', router, downMs: 0 }),
+      operator.execute({ kind: 'stop-router', router, downMs: 0 }),
     ),
   );
   await fleet.close();
@@ -174,17 +176,17 @@
   return report;
 }
 
-async function untilReady({ routers }: RouterFleet): Promise<void> {
-  const endsAtMs = monotonicNowMs() + startBoundMs;
+async function waitUntilReady({ routers }: RouterFleet): Promise<void> {
+  const endsAtMs = monotonicNowMs() + startTimeoutMs;
   while (!routers.every((router) => router.isInRotation())) {
     if (monotonicNowMs() > endsAtMs) {
-      throw new Error(`the routers were not ready within ${startBoundMs} ms`);
+      throw new Error(`routers not ready within ${startTimeoutMs} ms`);
     }
     await delay(pollMs);
   }
 }
 
-/** Resolves when all operations are over. */
+/** Resolves when all operations have finished. */
 async function playScript(
   steps: readonly ScriptStep[],
   operator: Operator,
@@ -192,7 +194,7 @@
 ): Promise<void> {
   const operations = steps.map(async ({ atMs, operation }) => {
     await delay(atMs);
-    await operator.carryOut(operation);
+    await operator.execute(operation);
   });
   await Promise.all([delay(durationMs), ...operations]);
 }
@@ -204,11 +206,11 @@
 }
 
 async function checkRecovery({ fleet, ledger, findings }: Recovery): Promise<void> {
-  await delay(recoverMs);
+  await delay(recoveryMs);
   const fromMs = monotonicNowMs();
   await delay(recoveredWindowMs);
   const share = servedShare(ledger, fromMs);
-  if (share < leastRecoveredShare) {
+  if (share < minRecoveredShare) {
     findings.add(promises.recovery, `${(share * 100).toFixed(1)}% served after all faults`);
   }
   fleet.routers
@@ -222,7 +224,7 @@
   ledger: Ledger;
 }
 
-/** What a reader needs to trace a finding: the script, and the requests and arrivals that it names. */
+/** Writes what is needed to trace findings: the script, and the requests and arrivals that they refer to. */
 function writeRecord(directory: string, { report, script, ledger }: SoakRecord): void {
   const ids = new Set(report.findings.flatMap(({ requestId }) => requestId ?? []));
   const record = {
--- a/packages/soak/src/workspaceChecks.ts
+++ b/packages/soak/src/workspaceChecks.ts
@@ -1,4 +1,4 @@
-/** Checks of API keys and quotas, by what callers were told and what reached backend servers. */
+/** Checks of API keys and quotas by callers' responses and arrivals at backend servers. */
 import type { QuotaSlack } from '@bluebellhitch/decisions';
 import {
   createBackgroundLoop,
@@ -13,7 +13,7 @@
 export interface WorkspaceChecksOptions {
   ledger: Ledger;
   findings: Findings;
-  /** No request may run that is sent this long after its key was taken away: at no router, whatever befell it. */
+  /** No router may run a request sent later than this after its key was revoked, regardless of faults. */
   revocationMs: number;
   quotaSlack: QuotaSlack;
   /** Tokens of a model request. */
@@ -23,7 +23,7 @@
 
 export interface WorkspaceChecks {
   onArrival(arrival: Arrival, request: SentRequest): void;
-  /** Whether 401 was the right answer; it is a finding where it was not. */
+  /** Checks a 401 response: it is a finding if the key was valid. */
   onUnknownKey(request: SentRequest): void;
   quotaLoop: BackgroundLoop;
 }
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Each request once: one that is resumed is the same. */
+  /** Counts each request once, even if it was resumed. */
   function tokensIn(fromMs: number): number {
     const ids = new Set(
       ledger
@@ -79,12 +79,13 @@
   function checkQuota(): void {
     const { windowMs, overageShare, amount } = quotaSlack;
     const { ratePerSecond, burst } = limitedQuota;
-    const most = ((ratePerSecond * windowMs) / msPerSecond + burst) * (1 + overageShare) + amount;
+    const maxTokens =
+      ((ratePerSecond * windowMs) / msPerSecond + burst) * (1 + overageShare) + amount;
     const tokens = tokensIn(monotonicNowMs() - windowMs);
-    if (tokens > most) {
+    if (tokens > maxTokens) {
       findings.add(
         promises.quota,
-        `${tokens} tokens of one workspace in a window, ${most} allowed`,
+        `${tokens} tokens of one workspace in a window, ${maxTokens} allowed`,
       );
     }
   }
