--- a/packages/replay/__tests__/quotaReplay.test.ts
+++ b/packages/replay/__tests__/quotaReplay.test.ts
@@ -25,8 +25,8 @@
 }
 
 test('a workspace within its quota is rarely refused, however its requests are distributed', (t) => {
-  // Guards against refusing requests within the quota. They arrive evenly, or most at one router, where an even share of
-  // the rate would refuse half of them.
+  // Guards against refusing requests within the quota. They arrive evenly, or most at one router, where an even share
+  // of the rate would refuse half of them.
   t.true(replay({}).owedShare > 0.97);
   t.true(replay({ shareAtOne: 0.7 }).owedShare > 0.95);
   t.true(replay({ shareAtOne: 0.7 }, quotaWays.evenShares).owedShare < 0.5);
--- a/packages/replay/__tests__/replayRun.test.ts
+++ b/packages/replay/__tests__/replayRun.test.ts
@@ -71,8 +71,8 @@
 });
 
 test.serial('the largest prompts are admitted alongside small ones', async (t) => {
-  // Guards against refusing prompts nearly as large as an engine's memory at half of the fleet's capacity: small prompts
-  // spread over all engines leave too little memory on each for a large one.
+  // Guards against refusing prompts nearly as large as an engine's memory at half of the fleet's capacity: small
+  // prompts spread over all engines leave too little memory on each for a large one.
   const pattern = { ...patternOf('mixedSizes'), steps: [] };
   const { largestTenth, nextFifth } = await replayPattern(pattern, [1, 2, 3, 4]);
   t.true(largestTenth.served > 0.83 * largestTenth.asked);
@@ -82,8 +82,8 @@
 test.serial(
   'routers of a shard do not place streams on engines of other shards, whose use they do not know',
   async (t) => {
-    // Guards against preemptions in bursts: routers of a full shard took engines of another shard to be empty, and one in
-    // six of their reservations was rejected.
+    // Guards against preemptions in bursts: routers of a full shard took engines of another shard to be empty, and one
+    // in six of their reservations was rejected.
     const { preempted, turnedAway, reservationsAsked, asked } = await replay('partedFleet', [1]);
     t.true(preempted < 0.015 * asked);
     t.true(turnedAway < 0.05 * reservationsAsked);
--- a/packages/replay/__tests__/serverLimits.test.ts
+++ b/packages/replay/__tests__/serverLimits.test.ts
@@ -21,7 +21,7 @@
   };
 }
 
-test('under faults of routers, an overloaded server gets most of the rate that it announced, and no more than is tolerated', (t) => {
+test('under router faults an overloaded server gets most of its announced rate, and no more than is tolerated', (t) => {
   // Guards against overload of the server, whose requests would time out. The loads: bursts, partitions, restarts,
   // freezes, and a limit that drops.
   Object.entries(serverLimitLoads).forEach(([name, load]) => {
@@ -31,7 +31,7 @@
   });
 });
 
-test('even shares exceed a small limit in a large fleet, and a replicated token bucket does while routers are partitioned', (t) => {
+test('even shares exceed a small limit in a large fleet, a replicated token bucket in partitioned fleets', (t) => {
   t.true(replay(serverLimitLoads.largeFleet, quotaWays.evenShares).worst > 2);
   t.true(replay(serverLimitLoads.allRestartWhileFlooded, quotaWays.evenShares).worst > 1);
   t.true(replay(serverLimitLoads.floodWhileCut, quotaWays.account).worst > 1);
--- a/packages/replay/src/engineModel.ts
+++ b/packages/replay/src/engineModel.ts
@@ -1,6 +1,6 @@
 /**
- * One model engine in virtual time: the stand-in engine's batch scheduler and memory, with reservations, prefill results
- * that expire, and load reports that lag. It models sizes only, without any content.
+ * One model engine in virtual time: the stand-in engine's batch scheduler and memory, with reservations, prefill
+ * results that expire, and load reports that lag. It models sizes only, without any content.
  */
 import {
   createBatchScheduler,
--- a/packages/replay/src/mechanisms.ts
+++ b/packages/replay/src/mechanisms.ts
@@ -1,6 +1,6 @@
 /**
- * Mechanisms that a replay can leave out, to measure the effect of each. The router has no switches for them: the replay
- * substitutes something simpler.
+ * Mechanisms that a replay can leave out, to measure the effect of each. The router has no switches for them: the
+ * replay substitutes something simpler.
  */
 import type { MemoryForecast } from '@bluebellhitch/decisions';
 import type { StreamEstimate } from '@bluebellhitch/protocol';
--- a/packages/replay/src/quota/quotaStrategies.ts
+++ b/packages/replay/src/quota/quotaStrategies.ts
@@ -18,7 +18,9 @@
   demandShares: 'demand-shares',
   /** Admits first, counts afterwards in a rolling window, and refuses while the window is full. */
   blockLater: 'block-later',
-  /** Only a few routers issue permits and admit: the router's strategy for limits of servers, without permit requests. */
+  /**
+   * Only a few routers issue permits and admit: the router's strategy for limits of servers, without permit requests.
+   */
   fewRouters: 'few-routers',
   /** As before, and the other routers request a permit from one of the issuers for each request. */
   permits: 'permits',
--- a/packages/soak/src/backendServers.ts
+++ b/packages/soak/src/backendServers.ts
@@ -1,6 +1,6 @@
 /**
- * The backend servers, each behind a proxy and listed in the store. A slot keeps its service and its index in scripts; the
- * server in it changes with each restart or replacement.
+ * The backend servers, each behind a proxy and listed in the store. A slot keeps its service and its index in scripts;
+ * the server in it changes with each restart or replacement.
  */
 import {
   startStandinWorker,
@@ -41,8 +41,8 @@
   /** Ends a server without notice. Its entry expires, and another server starts in its slot after `downMs`. */
   crash(slot: number, downMs: number): Promise<void>;
   /**
-   * Starts a new server, then drains the old one and ends it. The old server's responses say so immediately, its entry in
-   * the store after `unlistedMs`.
+   * Starts a new server, then drains the old one and ends it. The old server's responses say so immediately, its entry
+   * in the store after `unlistedMs`.
    */
   replace(slot: number, unlistedMs: number): Promise<void>;
   setLink(slot: number, fault: LinkFault): void;
--- a/packages/soak/src/disruptions.ts
+++ b/packages/soak/src/disruptions.ts
@@ -1,6 +1,6 @@
 /**
- * Records which routers, servers or store were disturbed, and when. Promises with a time limit hold only for routers that
- * had contact: router and store were undisturbed for at least the contact time before.
+ * Records which routers, servers or store were disturbed, and when. Promises with a time limit hold only for routers
+ * that had contact: router and store were undisturbed for at least the contact time before.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 
--- a/packages/soak/src/fleetChecks.ts
+++ b/packages/soak/src/fleetChecks.ts
@@ -161,8 +161,8 @@
 }
 
 /**
- * The share of callers' requests sent since `fromMs` that got a complete response. Leaves out probes, for which 404 can be
- * correct, and requests that need not be served: without a valid key, above a quota, or from a disconnected caller.
+ * The share of callers' requests sent since `fromMs` that got a complete response. Leaves out probes, for which 404 can
+ * be correct, and requests that need not be served: without a valid key, above a quota, or from a disconnected caller.
  */
 export function servedShare(ledger: Ledger, fromMs: number): number {
   const sent = [...ledger.requests()].filter(
--- a/packages/soak/src/loopbackProxy.ts
+++ b/packages/soak/src/loopbackProxy.ts
@@ -1,6 +1,6 @@
 /**
- * A TCP proxy on loopback between a process and one peer. Faults act on the bytes in flight, as in a network: a silent link
- * holds bytes back and delivers them once the fault ends.
+ * A TCP proxy on loopback between a process and one peer. Faults act on the bytes in flight, as in a network: a silent
+ * link holds bytes back and delivers them once the fault ends.
  */
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import { monotonicNowMs } from '@bluebellhitch/shared';
--- a/packages/soak/src/operator.ts
+++ b/packages/soak/src/operator.ts
@@ -42,7 +42,9 @@
 
 type OperationOf<Kind extends Operation['kind']> = Extract<Operation, { kind: Kind }>;
 type LinkOperation = Pick<OperationOf<'store-link'>, 'link' | 'forMs'>;
-/** By target, the last queued operation. Operations on one target run in order, so that none reverts another halfway. */
+/**
+ * By target, the last queued operation. Operations on one target run in order, so that none reverts another halfway.
+ */
 type PendingOperations = Map<string, Promise<void>>;
 
 export function createOperator(options: OperatorOptions): Operator {
--- a/packages/soak/src/soakRun.ts
+++ b/packages/soak/src/soakRun.ts
@@ -1,6 +1,6 @@
 /**
- * One soak run with a seed: router processes with stand-ins of the store and of backend servers, concurrent callers, and a
- * script of faults. Promises are checked during the run; after the last fault, requests must be served as before.
+ * One soak run with a seed: router processes with stand-ins of the store and of backend servers, concurrent callers,
+ * and a script of faults. Promises are checked during the run; after the last fault, requests must be served as before.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
