--- a/packages/replay/src/quota/quotaStrategies.ts
+++ b/packages/replay/src/quota/quotaStrategies.ts
@@ -57,8 +57,8 @@
 const repeatWindowMs = 4_000;
 const msPerSecond = 1_000;
 
-export function createQuotaLimiter(way: QuotaWay, options: QuotaLimiterOptions): QuotaLimiter {
-  switch (way) {
+export function createQuotaLimiter(strategy: QuotaWay, options: QuotaLimiterOptions): QuotaLimiter {
+  switch (strategy) {
     case quotaWays.account:
       return createTokenBucketLimiter(options);
     case quotaWays.evenShares:
