--- a/packages/bench/src/experiments/quotaStrategies.ts
+++ b/packages/bench/src/experiments/quotaStrategies.ts
@@ -4,12 +4,12 @@
  */
 import {
   quotaLoads,
-  quotaWays,
+  quotaStrategies,
   runQuotaReplay,
   serverLimitLoads,
   type QuotaFigures,
   type QuotaLoad,
-  type QuotaWay,
+  type QuotaStrategy,
 } from '@bluebellhitch/replay';
 import { renderTable } from '../report/table';
 import type { ExperimentReport } from './context';
@@ -20,7 +20,7 @@
 
 interface Row {
   load: string;
-  way: QuotaWay;
+  way: QuotaStrategy;
   /** Of the load that one token bucket shared without delay would admit, the share that was admitted. */
   owedServed: number;
   /** All admitted load divided by the load that one token bucket shared without delay would admit. */
@@ -29,7 +29,7 @@
   fullestWindow: number;
 }
 
-const { account, evenShares, demandShares, blockLater, fewRouters, permits } = quotaWays;
+const { account, evenShares, demandShares, blockLater, fewRouters, permits } = quotaStrategies;
 const workspaceStrategies = [account, evenShares, demandShares, blockLater];
 const serverLimitStrategies = [account, evenShares, fewRouters, permits];
 const headers = ['load', 'way', 'owed served', 'admitted', 'fullest window'];
@@ -53,7 +53,7 @@
 
 function measureRows(
   loads: Readonly<Record<string, QuotaLoad>>,
-  strategies: readonly QuotaWay[],
+  strategies: readonly QuotaStrategy[],
   seeds: readonly number[],
 ): Row[] {
   return Object.entries(loads).flatMap(([name, shape]) =>
@@ -63,7 +63,7 @@
 
 function measureRow(
   { name, shape }: { name: string; shape: QuotaLoad },
-  way: QuotaWay,
+  way: QuotaStrategy,
   seeds: readonly number[],
 ): Row {
   const all = seeds.map((seed) => runQuotaReplay({ load: shape, way, seed }));
--- a/packages/replay/__tests__/quotaReplay.test.ts
+++ b/packages/replay/__tests__/quotaReplay.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
 import {
   ordinaryQuotaLoad,
-  quotaWays,
+  quotaStrategies,
   runQuotaReplay,
   type QuotaLoad,
   type QuotaStep,
-  type QuotaWay,
+  type QuotaStrategy,
 } from '@bluebellhitch/replay';
 import { createSeededRandom, delay } from '@bluebellhitch/shared';
 
@@ -13,7 +13,7 @@
 const flood: QuotaStep = { kind: 'demand', atMs: 4_000, forMs: 11_000, factor: 7.5 };
 const seeds = [1, 2, 3, 4, 5];
 
-function replay(over: Partial<QuotaLoad>, way: QuotaWay = quotaWays.account) {
+function replay(over: Partial<QuotaLoad>, way: QuotaStrategy = quotaStrategies.account) {
   const all = seeds.map((seed) => runQuotaReplay({ load: { ...base, ...over }, way, seed }));
   const sum = (read: (figures: (typeof all)[number]) => number) =>
     all.reduce((total, figures) => total + read(figures), 0);
@@ -29,7 +29,7 @@
   // of the rate would refuse half of them.
   t.true(replay({}).owedShare > 0.97);
   t.true(replay({ shareAtOne: 0.7 }).owedShare > 0.95);
-  t.true(replay({ shareAtOne: 0.7 }, quotaWays.evenShares).owedShare < 0.5);
+  t.true(replay({ shareAtOne: 0.7 }, quotaStrategies.evenShares).owedShare < 0.5);
 });
 
 test('a workspace that sends four times its quota gets its quota and little more', (t) => {
@@ -40,7 +40,7 @@
 
 test('counting after admission exceeds the allowed overage once routers are partitioned', (t) => {
   const steps: QuotaStep[] = [flood, { kind: 'cut', atMs: 3_000, forMs: 12_000, share: 0.35 }];
-  t.true(replay({ steps }, quotaWays.blockLater).worst > 1);
+  t.true(replay({ steps }, quotaStrategies.blockLater).worst > 1);
   t.true(replay({ steps }).worst < 1);
 });
 
@@ -89,7 +89,7 @@
     // A replay blocks the event loop for about a second; yield so that the runner can report each test as it ends.
     await delay(0);
     const load = randomLoad(seed);
-    const { worstWindowShare } = runQuotaReplay({ load, way: quotaWays.account, seed });
+    const { worstWindowShare } = runQuotaReplay({ load, way: quotaStrategies.account, seed });
     t.true(worstWindowShare <= 1, `${load.routers} routers: ${worstWindowShare}`);
   });
 });
--- a/packages/replay/__tests__/serverLimits.test.ts
+++ b/packages/replay/__tests__/serverLimits.test.ts
@@ -1,17 +1,17 @@
 import test from 'ava';
 import {
-  quotaWays,
+  quotaStrategies,
   runQuotaReplay,
   serverLimitLoads,
   type QuotaLoad,
   type QuotaStep,
-  type QuotaWay,
+  type QuotaStrategy,
 } from '@bluebellhitch/replay';
 import { createSeededRandom, delay } from '@bluebellhitch/shared';
 
 const seeds = [1, 2, 3];
 
-function replay(load: QuotaLoad, way: QuotaWay = quotaWays.permits) {
+function replay(load: QuotaLoad, way: QuotaStrategy = quotaStrategies.permits) {
   const all = seeds.map((seed) => runQuotaReplay({ load, way, seed }));
   const sum = (read: (figures: (typeof all)[number]) => number) =>
     all.reduce((total, figures) => total + read(figures), 0);
@@ -32,9 +32,9 @@
 });
 
 test('even shares exceed a small limit in a large fleet, a replicated token bucket in partitioned fleets', (t) => {
-  t.true(replay(serverLimitLoads.largeFleet, quotaWays.evenShares).worst > 2);
-  t.true(replay(serverLimitLoads.allRestartWhileFlooded, quotaWays.evenShares).worst > 1);
-  t.true(replay(serverLimitLoads.floodWhileCut, quotaWays.account).worst > 1);
+  t.true(replay(serverLimitLoads.largeFleet, quotaStrategies.evenShares).worst > 2);
+  t.true(replay(serverLimitLoads.allRestartWhileFlooded, quotaStrategies.evenShares).worst > 1);
+  t.true(replay(serverLimitLoads.floodWhileCut, quotaStrategies.account).worst > 1);
 });
 
 /** A random combination of faults while a server announces a limit. */
@@ -69,7 +69,7 @@
 test('under random loads and faults no window of four seconds exceeds the tolerated amount', async (t) => {
   for (let seed = 1; seed <= 16; seed += 1) {
     const load = randomLoad(seed);
-    const { worstWindowShare } = runQuotaReplay({ load, way: quotaWays.permits, seed });
+    const { worstWindowShare } = runQuotaReplay({ load, way: quotaStrategies.permits, seed });
     t.true(worstWindowShare <= 1, `seed ${seed}, ${load.routers} routers: ${worstWindowShare}`);
     await delay(0);
   }
--- a/packages/replay/src/quota/quotaReplay.ts
+++ b/packages/replay/src/quota/quotaReplay.ts
@@ -2,11 +2,11 @@
 import { createSeededRandom, rotateRandomly, type Random } from '@bluebellhitch/shared';
 import type { QuotaAnnouncement } from '@bluebellhitch/decisions';
 import { demandAt, isActiveAt, limitFactorAt, type QuotaLoad, type QuotaStep } from './quotaLoad';
-import { createQuotaLimiter, type QuotaLimiter, type QuotaWay } from './quotaStrategies';
+import { createQuotaLimiter, type QuotaLimiter, type QuotaStrategy } from './quotaStrategies';
 
 export interface QuotaReplayOptions {
   load: QuotaLoad;
-  way: QuotaWay;
+  way: QuotaStrategy;
   seed: number;
 }
 
--- a/packages/replay/src/quota/quotaStrategies.ts
+++ b/packages/replay/src/quota/quotaStrategies.ts
@@ -9,7 +9,7 @@
   type QuotaUse,
 } from '@bluebellhitch/decisions';
 
-export const quotaWays = {
+export const quotaStrategies = {
   /** One token bucket, replicated at all routers: the strategy that the router uses for quotas. */
   account: 'account',
   /** Each router enforces an even share of rate and burst. */
@@ -25,7 +25,7 @@
   /** As before, and the other routers request a permit from one of the issuers for each request. */
   permits: 'permits',
 } as const;
-export type QuotaWay = (typeof quotaWays)[keyof typeof quotaWays];
+export type QuotaStrategy = (typeof quotaStrategies)[keyof typeof quotaStrategies];
 
 export interface QuotaLimiterOptions {
   nowMs: number;
@@ -57,19 +57,22 @@
 const repeatWindowMs = 4_000;
 const msPerSecond = 1_000;
 
-export function createQuotaLimiter(strategy: QuotaWay, options: QuotaLimiterOptions): QuotaLimiter {
+export function createQuotaLimiter(
+  strategy: QuotaStrategy,
+  options: QuotaLimiterOptions,
+): QuotaLimiter {
   switch (strategy) {
-    case quotaWays.account:
+    case quotaStrategies.account:
       return createTokenBucketLimiter(options);
-    case quotaWays.evenShares:
+    case quotaStrategies.evenShares:
       return createEvenShareLimiter(options);
-    case quotaWays.demandShares:
+    case quotaStrategies.demandShares:
       return createDemandShareLimiter(options);
-    case quotaWays.blockLater:
+    case quotaStrategies.blockLater:
       return createRollingWindowLimiter(options);
-    case quotaWays.fewRouters:
+    case quotaStrategies.fewRouters:
       return { ...createPermitLimiter(options), issuers: () => [] };
-    case quotaWays.permits:
+    case quotaStrategies.permits:
       return createPermitLimiter(options);
   }
 }
