--- a/packages/standins/src/platform/objectStore.ts
+++ b/packages/standins/src/platform/objectStore.ts
@@ -31,10 +31,7 @@
 const defaultMaxValueBytes = 1024 * 1024;
 
 export function createObjectStore(options: ObjectStoreOptions = {}) {
-  const {
-    eventLogLimit = defaultEventLogLimit,
-    maxValueBytes = defaultMaxValueBytes,
-  } = options;
+  const { eventLogLimit = defaultEventLogLimit, maxValueBytes = defaultMaxValueBytes } = options;
   const objects = new Map<string, StoredObject>();
   const log: LoggedEvent[] = [];
   const listeners = new Set<(kind: ObjectKind) => void>();
