--- a/packages/decisions/__tests__/leaseTable.test.ts
+++ b/packages/decisions/__tests__/leaseTable.test.ts
@@ -75,7 +75,7 @@
   t.deepEqual(table.reserve(reservation('next'), 900), { kind: 'wait', usableInMs: 100 });
 });
 
-// Guards against memory held for ever by streams of an entry that died: its heartbeats stop, and 1.5 s after
+// Guards against memory held indefinitely by streams of an entry that died: its heartbeats stop, and 1.5 s after
 // the last one its leases, and only those, have lapsed.
 test('leases without a heartbeat lapse', (t) => {
   const table = tableOf(100);
--- a/packages/decisions/__tests__/outlierDetection.test.ts
+++ b/packages/decisions/__tests__/outlierDetection.test.ts
@@ -24,7 +24,7 @@
   t.deepEqual(detector.state('a', 1_011), { kind: 'closed' });
 });
 
-test('a failed probe ejects for twice as long, and a lost probe does not block for ever', (t) => {
+test('a failed probe ejects for twice as long, and a lost probe does not block indefinitely', (t) => {
   const detector = createOutlierDetector({ ejectionMs: 1_000, probeTimeoutMs: 5_000 });
   detector.setPoolSize(6);
   failTimes(detector, 'a', 4);
--- a/packages/decisions/__tests__/outputLengths.test.ts
+++ b/packages/decisions/__tests__/outputLengths.test.ts
@@ -20,11 +20,11 @@
     const events = 50 * Math.exp(0.5 * normal());
     lengths.observe('a', 10 * events * Math.exp(0.5 * normal()), events);
   });
-  const usual = lengths.estimate('a', 500);
+  const typical = lengths.estimate('a', 500);
   const high = lengths.estimate('a', 2_000);
-  t.true(Math.abs((usual?.medianEvents ?? 0) - 50) < 8);
+  t.true(Math.abs((typical?.medianEvents ?? 0) - 50) < 8);
   t.true(Math.abs((high?.medianEvents ?? 0) - 100) < 20);
-  t.true(Math.abs((usual?.deviation ?? 0) - 0.35) < 0.08);
+  t.true(Math.abs((typical?.deviation ?? 0) - 0.35) < 0.08);
 });
 
 test('responses without hints form a separate class', (t) => {
--- a/packages/decisions/__tests__/sharedPermits.test.ts
+++ b/packages/decisions/__tests__/sharedPermits.test.ts
@@ -130,7 +130,7 @@
 });
 
 test('only own observations are passed on', (t) => {
-  // Observations passed on from other routers would circulate for ever, with a smaller age at each router.
+  // Observations passed on from other routers would circulate indefinitely, with a smaller age at each router.
   const permits = createSharedPermits({ nowMs: 0 });
   permits.setRouters(address(0), [address(1)], 0);
   permits.applyRemote({ serverId: 'far', requestsPerSecond: 9, ageMs: 0 }, 100);
@@ -152,7 +152,7 @@
 });
 
 test('issuers rotate when no router observes the server any more', (t) => {
-  // Its issuers are gone or have no callers. Without rotation the server would stay limited for ever, since only a
+  // Its issuers are gone or have no callers. Without rotation the server would stay limited indefinitely, since only a
   // response ends a limit.
   const routers = createFleet(24, 2);
   const issuersAt = (nowMs: number) =>
--- a/packages/decisions/__tests__/streamGuard.test.ts
+++ b/packages/decisions/__tests__/streamGuard.test.ts
@@ -15,33 +15,33 @@
 // Guards against delivering another caller's text, repeated text, or a response with a gap: frames of an
 // earlier use of the engine's slot may arrive late, others may be repeated, reordered or lost.
 test("delivers a prefix of the attempt's own response, and reports complete only for all of it", (t) => {
-  const answer = 'abcdefghijklmnop';
+  const response = 'abcdefghijklmnop';
   const frame = fc.record({
-    offset: fc.nat(answer.length),
+    offset: fc.nat(response.length),
     length: fc.integer({ min: 1, max: 4 }),
     kind: fc.constantFrom('own', 'own', 'own', 'foreign', 'end', 'foreign-end'),
   });
   const toFrame = ({ offset, length, kind }: { offset: number; length: number; kind: string }) => {
     if (kind === 'end' || kind === 'foreign-end') {
-      return end(answer.length, kind === 'end' ? 'mine' : 'other');
+      return end(response.length, kind === 'end' ? 'mine' : 'other');
     }
-    const text = answer.slice(offset, offset + length) || 'x';
+    const text = response.slice(offset, offset + length) || 'x';
     return kind === 'foreign' ? tokens(offset, text.toUpperCase(), 'other') : tokens(offset, text);
   };
-  const inOrder = Array.from(answer, (letter, index) => tokens(index, letter));
+  const inOrder = Array.from(response, (letter, index) => tokens(index, letter));
   const noise = fc.array(fc.tuple(fc.nat(20), frame), { maxLength: 12, size: 'max' });
   fc.assert(
     fc.property(noise, (injected) => {
-      const frames = [...inOrder, end(answer.length)];
-      injected.forEach(([place, item]) => frames.splice(place, 0, toFrame(item)));
+      const frames = [...inOrder, end(response.length)];
+      injected.forEach(([position, item]) => frames.splice(position, 0, toFrame(item)));
       const guard = createStreamGuard({ attemptId: 'mine' });
       const results = frames.map((item) => guard.accept(item));
       const delivered = results
         .flatMap((item) => (item.kind === 'deliver' ? item.text : []))
         .join('');
-      t.true(answer.startsWith(delivered));
+      t.true(response.startsWith(delivered));
       const complete = results.some(({ kind }) => kind === 'complete');
-      t.is(complete, complete && delivered === answer);
+      t.is(complete, complete && delivered === response);
       t.true(complete || results.some(({ kind }) => kind === 'truncated'));
     }),
     fixedSeed,
--- a/packages/decisions/__tests__/weightedFairOrder.test.ts
+++ b/packages/decisions/__tests__/weightedFairOrder.test.ts
@@ -41,13 +41,13 @@
     fc.property(items, fc.array(fc.nat(59), { maxLength: 20, size: 'max' }), (waiting, removed) => {
       const order = createWeightedFairOrder<(typeof waiting)[number]>();
       waiting.forEach((item) => order.add({ item, ...item, weight: 1 }));
-      const gone = new Set(removed.flatMap((index) => waiting[index] ?? []));
-      gone.forEach((item) => t.true(order.remove(item)));
-      t.is(order.size(), waiting.length - gone.size);
+      const removedItems = new Set(removed.flatMap((index) => waiting[index] ?? []));
+      removedItems.forEach((item) => t.true(order.remove(item)));
+      t.is(order.size(), waiting.length - removedItems.size);
       const served = waiting.map(() => order.next()).filter((item) => item !== undefined);
-      t.true(served.every((item) => waiting.includes(item) && !gone.has(item)));
-      t.is(new Set(served).size, waiting.length - gone.size);
-      t.is(served.length, waiting.length - gone.size);
+      t.true(served.every((item) => waiting.includes(item) && !removedItems.has(item)));
+      t.is(new Set(served).size, waiting.length - removedItems.size);
+      t.is(served.length, waiting.length - removedItems.size);
       ['a', 'b', 'c'].forEach((flow) => {
         const deadlines = served
           .filter((item) => item.flow === flow)
--- a/packages/decisions/src/bidChoice.ts
+++ b/packages/decisions/src/bidChoice.ts
@@ -73,7 +73,7 @@
     }
   | { kind: 'refuse'; reason: BidRefusalReason; retryAfterMs: number };
 
-/** One way to serve the request. */
+/** One plan to serve the request. */
 interface ServingPlan {
   decode: CandidateBid;
   /** Absent where the decode worker prefills. */
--- a/packages/decisions/src/loadHints.ts
+++ b/packages/decisions/src/loadHints.ts
@@ -38,7 +38,7 @@
   role(instanceId: string): WorkerRole | undefined;
   /** Changes whenever an instance reports a new role. */
   roleRevision(): number;
-  /** To be called for an instance that has restarted or is gone. */
+  /** To be called for an instance that has restarted or been removed. */
   forget(instanceId: string): void;
   size(): number;
 }
--- a/packages/decisions/src/quotaRouters.ts
+++ b/packages/decisions/src/quotaRouters.ts
@@ -24,7 +24,7 @@
   noteIncarnation(address: string, incarnation: string): void;
   /** Number of routers in the shard, this one included; an estimate while this one is warming up. */
   count(nowMs: number): number;
-  /** Share of rate and burst for the reachable routers; the silent ones are assumed to spend the rest. */
+  /** Share of rate and burst for the reachable routers; the unreachable ones are assumed to spend the rest. */
   reachableShare(nowMs: number): number;
   /** Share of this router's shard among all routers. */
   shardShare(): number;
--- a/packages/decisions/src/sharedPermits.ts
+++ b/packages/decisions/src/sharedPermits.ts
@@ -90,8 +90,8 @@
 const maxWarmUpMs = 30_000;
 const assumedRouterCount = 360;
 /**
- * If no router has had a response of the server for this long, its issuers may all be gone or have no callers: the next
- * routers in order become issuers, or the server would stay limited for ever.
+ * If no router has had a response of the server for this long, its issuers may all have stopped or lack callers: the
+ * next routers in order become issuers, or the server would stay limited indefinitely.
  */
 const minRotationMs = 10_000;
 /** A rotation lasts long enough for each issuer to use this many permits. */
--- a/packages/decisions/src/sharedQuota.ts
+++ b/packages/decisions/src/sharedQuota.ts
@@ -11,9 +11,9 @@
  * - Not yet propagated: what the others admit before this router learns of it. Within `propagationMs` each of them
  *   spends at most the larger of the burst and half of E, divided by n, or one request. What is announced only with the
  *   next heartbeat is a quarter of the remaining level, divided by n.
- * - Silent: a router without contact for `silenceTimeoutMs` is assumed to spend its even share, rate / n, and spends no
- *   more than that once it counts all others as silent itself. Before that, each side spends as fast as callers ask:
- *   with 8 of 24 routers isolated and callers spread evenly, at most the rate x 1.5 s x 1/3.
+ * - Unreachable: a router without contact for `silenceTimeoutMs` is assumed to spend its even share, rate / n, and
+ *   spends no more than that once it counts all others as unreachable itself. Before that, each side spends as fast as
+ *   callers ask: with 8 of 24 routers isolated and callers spread evenly, at most the rate x 1.5 s x 1/3.
  * - Restarted: a router that starts adds its even share of the burst, and adopts the levels of the first older router
  *   that it hears from. If all routers start together there is one more burst, which is less than E.
  * Not bounded: if all n routers are isolated from each other at the same moment, while callers of one workspace ask
@@ -76,7 +76,7 @@
   take(name: string, cost: number, nowMs: number): QuotaDecision;
   /** Refunds the cost of a request that has certainly not run. */
   refund(name: string, cost: number, nowMs: number): void;
-  /** A message of the router arrived, so whatever it has admitted up to now is known. */
+  /** A message of the router arrived, so everything that it has admitted up to now is known. */
   noteContact(router: string, nowMs: number): void;
   applyRemote(announcement: QuotaAnnouncement, nowMs: number): void;
   /** This router has just started and does not know what was admitted before. */
@@ -265,7 +265,7 @@
     }
   }
 
-  /** Spending that was debited in advance for a router while it was silent. */
+  /** Spending that was debited in advance for a router while it was unreachable. */
   function assumedSpending(
     bucket: Bucket,
     { assumedSpendingMs }: QuotaRouter,
@@ -274,7 +274,7 @@
     return (assumedSpendingMs * rateOf(bucket)) / routers.count(nowMs) / msPerSecond;
   }
 
-  /** Called before a silent router counts as reachable again: until now its even share was set aside. */
+  /** Called before an unreachable router counts as reachable again: until now its even share was set aside. */
   function refillAll(nowMs: number): void {
     buckets.forEach((bucket) => refill(bucket, nowMs));
   }
--- a/packages/protocol/__tests__/limitMessages.test.ts
+++ b/packages/protocol/__tests__/limitMessages.test.ts
@@ -43,8 +43,11 @@
 });
 
 test('the number of limits in a datagram is bounded', (t) => {
-  const limits = Array.from({ length: 100 }, (_none, at) => ({ serverId: `s${at}`, ageMs: 0 }));
+  const limits = Array.from({ length: 100 }, (_none, index) => ({
+    serverId: `s${index}`,
+    ageMs: 0,
+  }));
   const bytes = encodeLimitMessage({ kind: 'limit-news', limits });
-  const read = decodeLimitMessage(bytes);
-  t.is(read?.kind === 'limit-news' ? read.limits.length : 0, 48);
+  const decoded = decodeLimitMessage(bytes);
+  t.is(decoded?.kind === 'limit-news' ? decoded.limits.length : 0, 48);
 });
--- a/packages/protocol/src/limitMessages.ts
+++ b/packages/protocol/src/limitMessages.ts
@@ -41,7 +41,11 @@
 
 /** Keeps a datagram at about 2,000 bytes with ids of 24 characters. */
 export const maxLimitsPerMessage = 48;
-const names = { news: 'limit-news', question: 'permit-question', answer: 'permit-answer' } as const;
+const names = {
+  announcement: 'limit-news',
+  question: 'permit-question',
+  answer: 'permit-answer',
+} as const;
 const formatStarts = Object.values(names).map((name) => Buffer.from(`["${name}"`));
 const count = z.number().int().nonnegative();
 const serverId = z.string().min(1).max(256);
@@ -49,7 +53,7 @@
 const wireSchema = z.union([
   z
     .tuple([
-      z.literal(names.news),
+      z.literal(names.announcement),
       z
         .array(z.tuple([serverId, rate.nullable(), count]).rest(z.unknown()))
         .max(maxLimitsPerMessage),
@@ -71,7 +75,7 @@
   switch (message.kind) {
     case 'limit-news':
       return [
-        names.news,
+        names.announcement,
         message.limits
           .slice(0, maxLimitsPerMessage)
           .map(({ serverId: id, requestsPerSecond, ageMs }) => [
@@ -96,7 +100,7 @@
   switch (parsed?.[0]) {
     case undefined:
       return undefined;
-    case names.news:
+    case names.announcement:
       return {
         kind: 'limit-news',
         limits: parsed[1].map(([id, requestsPerSecond, ageMs]) => ({
--- a/packages/protocol/src/peerMessages.ts
+++ b/packages/protocol/src/peerMessages.ts
@@ -105,12 +105,12 @@
     life,
     sequence,
     isFull: full === 1,
-    engines: rows.map(([serverId, prefillTokens, ownPrompts, silent, numbers]) => ({
+    engines: rows.map(([serverId, prefillTokens, ownPrompts, unresponsive, numbers]) => ({
       serverId,
       streams: decodeStreams(numbers),
       prefillTokens,
       ownPrompts,
-      isSilent: silent === 1,
+      isSilent: unresponsive === 1,
     })),
     peers: contacts.map(([address, age]) => ({ address, ageMs: age * msPerAgeUnit })),
     seenRevisions,
--- a/packages/routing/__tests__/configurationProof.test.ts
+++ b/packages/routing/__tests__/configurationProof.test.ts
@@ -94,11 +94,11 @@
   });
 });
 
-test('a proof counts from the start of the call, however late its answer is read', (t) => {
+test('a proof counts from the start of the call, however late its response is read', (t) => {
   withPair(sameRevisions, ({ clock, follower }) => {
-    const begun = readClocks();
+    const startedAt = readClocks();
     clock.tick(3_000);
-    follower.noteProved(begun, 1);
+    follower.noteProved(startedAt, 1);
     t.is(follower.ageMs(), 3_000);
   });
 });
@@ -132,7 +132,7 @@
 });
 
 test('a router passes on only proofs from its own calls', (t) => {
-  // Otherwise two routers partitioned from the platform renew each other's proofs for ever.
+  // Otherwise two routers partitioned from the platform renew each other's proofs indefinitely.
   withPair(sameRevisions, ({ clock, follower, router, toRouter, deliver }) => {
     follower.noteProved(readClocks(), 1);
     router.ask();
--- a/packages/routing/__tests__/decodePlacement.test.ts
+++ b/packages/routing/__tests__/decodePlacement.test.ts
@@ -41,19 +41,19 @@
   const loads = createEngineLoads();
   const calls: string[] = [];
   const releasedIds: string[] = [];
-  const answers = new Map<string, CallOutcome<Reservation>>();
+  const outcomes = new Map<string, CallOutcome<Reservation>>();
   const placement = createDecodePlacement({
     pools: { ...createFleetShard({ directory }), spare: () => spareIds.map(server) },
     loads,
     health: createOutlierDetector(),
     backend: {
-      async reserve(at, { tokens }) {
-        calls.push(at.id);
+      async reserve(target, { tokens }) {
+        calls.push(target.id);
         await new Promise((resolve) => {
           setTimeout(resolve, 5);
         });
-        const reservation = { id: `h${calls.length}`, server: at, tokens };
-        return answers.get(at.id) ?? { kind: 'done', value: reservation };
+        const reservation = { id: `h${calls.length}`, server: target, tokens };
+        return outcomes.get(target.id) ?? { kind: 'done', value: reservation };
       },
       releaseReservation: ({ id }) => releasedIds.push(id),
     },
@@ -86,7 +86,7 @@
     return result;
   }
 
-  return { directory, loads, calls, releasedIds, answers, place };
+  return { directory, loads, calls, releasedIds, outcomes, place };
 }
 
 function testWithFakeClock(
@@ -146,10 +146,10 @@
 );
 
 testWithFakeClock('a request is refused as soon as its target can’t be met', async (t, clock) => {
-  // Otherwise the caller would wait until its own time-out for an answer that is late or never comes, instead of
+  // Otherwise the caller would wait until its own time-out for a response that is late or never comes, instead of
   // retrying. The engine rejects the reservation; at the latest start that meets the target the request is refused.
   const fixture = createFixture(clock, ['a']);
-  fixture.answers.set('a', rejected);
+  fixture.outcomes.set('a', rejected);
   const result = fixture.place();
   await clock.tickAsync(490);
   t.is(result.outcome, undefined);
@@ -173,7 +173,7 @@
   'a resumed stream keeps waiting where a new request is refused',
   async (t, clock) => {
     const fixture = createFixture(clock, ['a']);
-    fixture.answers.set('a', rejected);
+    fixture.outcomes.set('a', rejected);
     const overrides = { latestStartAtMs: clock.now + 100 };
     const fresh = fixture.place(overrides);
     const resumed = fixture.place({ ...overrides, isResumed: true });
@@ -187,7 +187,7 @@
 
 testWithFakeClock('another engine is tried after one rejects the reservation', async (t, clock) => {
   const fixture = createFixture(clock, ['a', 'b']);
-  fixture.answers.set('a', rejected);
+  fixture.outcomes.set('a', rejected);
   const result = fixture.place();
   await clock.tickAsync(20);
   t.is(serverOf(result), 'b');
@@ -231,7 +231,7 @@
 testWithFakeClock(
   'a late request that would use the pool’s headroom is refused at once',
   async (t, clock) => {
-    // A late answer is worth little: it must neither use nor wait for memory that requests on time will need.
+    // A late response is worth little: it must neither use nor wait for memory that requests on time will need.
     const fixture = createFixture(clock, ['a']);
     const late = fixture.place({ tokens: 8_500, latestStartAtMs: clock.now - 1 });
     await clock.tickAsync(0);
--- a/packages/routing/__tests__/eventSplitter.test.ts
+++ b/packages/routing/__tests__/eventSplitter.test.ts
@@ -9,10 +9,10 @@
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 0, max: whole.length }), { maxLength: 8 }), (cuts) => {
       const splitter = createEventSplitter();
-      const places = [0, ...cuts.sort((left, right) => left - right), whole.length];
-      const events = places
+      const positions = [0, ...cuts.sort((left, right) => left - right), whole.length];
+      const events = positions
         .slice(1)
-        .flatMap((to, index) => splitter.push(Buffer.from(whole.slice(places[index], to))));
+        .flatMap((to, index) => splitter.push(Buffer.from(whole.slice(positions[index], to))));
       t.deepEqual(
         events.map(({ id }) => id),
         [1, 2, 3, 4],
--- a/packages/routing/__tests__/fleetShard.test.ts
+++ b/packages/routing/__tests__/fleetShard.test.ts
@@ -61,8 +61,8 @@
         const sizes = fleet.map((shard) => shard.usable('s', 'decode').length);
         t.true(Math.max(...sizes) - Math.min(...sizes) <= 1);
         fleet.forEach((shard, index) =>
-          shard.shardPeers().forEach((companion) => {
-            const other = fleet[addresses.indexOf(companion)];
+          shard.shardPeers().forEach((peerAddress) => {
+            const other = fleet[addresses.indexOf(peerAddress)];
             t.true(other?.shardPeers().includes(addresses[index] ?? ''));
             t.deepEqual(other?.usable('s', 'decode'), shard.usable('s', 'decode'));
           }),
--- a/packages/routing/__tests__/fleetShares.test.ts
+++ b/packages/routing/__tests__/fleetShares.test.ts
@@ -1,9 +1,12 @@
 import test from 'ava';
 import { createFleetShares } from '@bluebellhitch/routing';
 
-function sharesOf({ companions = 0, partCount = 1, routerCount = 1 }) {
-  const addresses = Array.from({ length: companions }, (_none, at) => `10.0.0.${at + 1}:7400`);
-  const fleetShard = { shardPeers: () => addresses, shardCount: () => partCount };
+function sharesOf({ shardPeerCount = 0, shardCount = 1, routerCount = 1 }) {
+  const addresses = Array.from(
+    { length: shardPeerCount },
+    (_none, index) => `10.0.0.${index + 1}:7400`,
+  );
+  const fleetShard = { shardPeers: () => addresses, shardCount: () => shardCount };
   return createFleetShares({ fleetShard, routerCount: () => routerCount });
 }
 
@@ -13,11 +16,11 @@
 });
 
 test('shares shrink with the number of routers that use the same servers', (t) => {
-  t.is(sharesOf({ companions: 23 }).connections(480), 15);
-  t.is(sharesOf({ companions: 23, partCount: 2 }).connections(480), 7);
+  t.is(sharesOf({ shardPeerCount: 23 }).connections(480), 15);
+  t.is(sharesOf({ shardPeerCount: 23, shardCount: 2 }).connections(480), 7);
   t.is(sharesOf({ routerCount: 24 }).furtherAttempts(160), 5);
 });
 
 test('a router always has connections to call a server and to poll its load', (t) => {
-  t.is(sharesOf({ companions: 99 }).connections(96), 2);
+  t.is(sharesOf({ shardPeerCount: 99 }).connections(96), 2);
 });
--- a/packages/routing/__tests__/objectFollower.test.ts
+++ b/packages/routing/__tests__/objectFollower.test.ts
@@ -22,9 +22,9 @@
   log: string[];
 }
 
-/** A store whose nth watch gives the answer that the test returns for n. */
+/** A store whose nth watch gets the reply that the test returns for n. */
 function scriptedStore(
-  answer: (watch: number) => 'fail' | WatchReply,
+  replyTo: (watch: number) => 'fail' | WatchReply,
 ): Script & { api: ObjectApi } {
   const script: Script = { lists: 0, watchWaitsMs: [], log: [] };
   const api = {
@@ -34,7 +34,7 @@
     },
     watch(_kind: unknown, _cursor: unknown, waitMs: number, signal?: AbortSignal) {
       script.watchWaitsMs.push(waitMs);
-      const answered = answer(script.watchWaitsMs.length);
+      const answered = replyTo(script.watchWaitsMs.length);
       const result: Result<WatchReply, PlatformError> =
         answered === 'fail' ? err({ kind: 'unavailable', detail: 'down' }) : ok(answered);
       return new ResultAsync(
@@ -112,7 +112,7 @@
   t.deepEqual(script.watchWaitsMs, [1_800]);
 });
 
-test('a slow answer is not aborted because peers have it already', async (t) => {
+test('a slow response is not aborted because peers have it already', async (t) => {
   // Otherwise callers of this router get 404 for new routes. On its slow link the large new configuration takes two
   // seconds. Peers with faster links report the newer revision every second; if the router aborted and restarted its
   // call each time, it would never receive the configuration.
--- a/packages/routing/__tests__/relayedChanges.test.ts
+++ b/packages/routing/__tests__/relayedChanges.test.ts
@@ -46,7 +46,7 @@
     },
     watch(_kind: unknown, cursor: string, waitMs: number, signal?: AbortSignal) {
       calls.push(`watch ${cursor}`);
-      const answer = (): Result<WatchReply, PlatformError> =>
+      const createReply = (): Result<WatchReply, PlatformError> =>
         ok({
           events: events.filter(
             (event) =>
@@ -57,8 +57,8 @@
         });
       return new ResultAsync(
         new Promise<Result<WatchReply, PlatformError>>((resolve) => {
-          setTimeout(() => resolve(answer()), waitMs);
-          signal?.addEventListener('abort', () => resolve(answer()));
+          setTimeout(() => resolve(createReply()), waitMs);
+          signal?.addEventListener('abort', () => resolve(createReply()));
         }),
       );
     },
@@ -66,14 +66,14 @@
   return {
     api: api as unknown as ObjectApi,
     calls,
-    change(event: WatchEvent, at: number) {
+    change(event: WatchEvent, revisionAfter: number) {
       events.push(event);
-      revision = at;
+      revision = revisionAfter;
     },
   };
 }
 
-interface World {
+interface Fixture {
   store: ReturnType<typeof createStore>;
   clock: Clock;
   follower: ObjectFollower;
@@ -82,7 +82,7 @@
 }
 
 /** Runs the test with a follower that leaves the watching to relays and has completed its list. */
-async function followWithRelays(during: (world: World) => Promise<void>): Promise<void> {
+async function followWithRelays(during: (fixture: Fixture) => Promise<void>): Promise<void> {
   const clock = FakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] });
   try {
     const store = createStore();
@@ -250,7 +250,7 @@
       isAway = false;
       await clock.tickAsync(1_000);
       const backAgeMs = seen.at(-1)?.backAgeMs ?? Infinity;
-      t.true(backAgeMs <= 1_000, `told ${backAgeMs}`);
+      t.true(backAgeMs <= 1_000, `reported ${backAgeMs}`);
       const stopped = follower.stop();
       await clock.tickAsync(10_000);
       await stopped;
--- a/packages/routing/__tests__/requestState.test.ts
+++ b/packages/routing/__tests__/requestState.test.ts
@@ -32,13 +32,13 @@
   return refusal;
 }
 
-test('an answer lost at the route’s time-out is reported as a time-out, whichever timer fires first', (t) => {
-  // Otherwise the caller of a server that hangs would be told of a lost answer: the call's own time-out ends at the
+test('a response lost at the route’s time-out is reported as a time-out, whichever timer fires first', (t) => {
+  // Otherwise the caller of a server that hangs would be told of a lost response: the call's own time-out ends at the
   // same moment as the request's and may fire slightly earlier.
   t.deepEqual(refusalAfter(299), { kind: 'timed-out' });
   t.deepEqual(refusalAfter(300), { kind: 'timed-out' });
 });
 
-test('an answer lost before the time-out is reported as lost', (t) => {
+test('a response lost before the time-out is reported as lost', (t) => {
   t.deepEqual(refusalAfter(200), { kind: 'answer-lost', detail: 'reset' });
 });
--- a/packages/routing/__tests__/restoredObjects.test.ts
+++ b/packages/routing/__tests__/restoredObjects.test.ts
@@ -130,13 +130,13 @@
 
 type ModelStore = ReturnType<typeof createModelStore>;
 
-/** The store client of one router: it learns of a new era only from the answers that it reads. */
+/** The store client of one router: it learns of a new era only from the responses that it reads. */
 function clientOf(store: ModelStore, isCut: () => boolean, random: Random): ObjectApi {
   let latestEra = 0;
   const down: PlatformError = { kind: 'unavailable', detail: 'down' };
   const delayMs = () => 1 + Math.floor(random() * 40);
 
-  function answer<Value>(
+  function respond<Value>(
     read: () => Result<Value, PlatformError>,
     signal?: AbortSignal,
   ): ResultAsync<Value, PlatformError> {
@@ -190,7 +190,7 @@
 
   return {
     list: () =>
-      answer(() => {
+      respond(() => {
         latestEra = Math.max(latestEra, store.era());
         const objects = [...store.objects().values()].map(objectOf);
         return ok({ objects, cursor: String(store.position()) });
@@ -201,7 +201,7 @@
       }
       const waited = untilChange(cursor, waitMs, signal);
       return new ResultAsync(
-        waited.then(() => answer(() => ok(watch(cursor)), signal) as PromiseLike<never>),
+        waited.then(() => respond(() => ok(watch(cursor)), signal) as PromiseLike<never>),
       );
     },
   } as unknown as ObjectApi;
@@ -244,9 +244,9 @@
         event.kind === 'put'
           ? view.set(event.object.key, event.object.value)
           : view.delete(event.key),
-      onSeen(told) {
+      onSeen(changes) {
         if (isRelay) {
-          send(index, (to) => to.applyRelayed(told));
+          send(index, (to) => to.applyRelayed(changes));
         }
       },
       onUnavailable: () => undefined,
@@ -303,7 +303,9 @@
   const stopped = Promise.all(routers.map(({ follower }) => follower.stop()));
   await clock.tickAsync(10_000);
   await stopped;
-  return views.flatMap((view, at) => (view === wanted ? [] : [`router ${at}: ${view}, ${wanted}`]));
+  return views.flatMap((view, index) =>
+    view === wanted ? [] : [`router ${index}: ${view}, ${wanted}`],
+  );
 }
 
 test.serial(
--- a/packages/routing/__tests__/serverLimits.test.ts
+++ b/packages/routing/__tests__/serverLimits.test.ts
@@ -20,7 +20,7 @@
 /** Creates routers that already know each other; a datagram takes 2 ms. */
 async function withFleet(count: number, check: (fleet: Fleet) => Promise<void>): Promise<void> {
   const clock = FakeTimers.install();
-  const addresses = Array.from({ length: count }, (_none, at) => `10.0.0.${at + 1}:7400`);
+  const addresses = Array.from({ length: count }, (_none, index) => `10.0.0.${index + 1}:7400`);
   const sent: string[] = [];
   let isDropping = false;
   const routers = addresses.map((address) =>
@@ -43,10 +43,10 @@
     }),
   );
   try {
-    routers.forEach((router, at) =>
+    routers.forEach((router, index) =>
       router.setRouters(
-        addresses[at] as string,
-        addresses.filter((_address, other) => other !== at),
+        addresses[index] as string,
+        addresses.filter((_address, other) => other !== index),
       ),
     );
     clock.tick(3_000);
--- a/packages/routing/__tests__/stallWatch.test.ts
+++ b/packages/routing/__tests__/stallWatch.test.ts
@@ -3,7 +3,7 @@
 import { startStallWatch, type StallWatchOptions } from '../src/stallWatch';
 
 function watchWithFakeTimers(
-  isServerSilent: boolean,
+  isServerUnresponsive: boolean,
   act: (clock: FakeTimers.Clock, note: () => void) => void,
   over: Partial<StallWatchOptions> = {},
 ) {
@@ -13,7 +13,7 @@
     const watch = startStallWatch({
       stallTimeoutMs: 2_000,
       unresponsiveStallTimeoutMs: 400,
-      isServerUnresponsive: () => isServerSilent,
+      isServerUnresponsive: () => isServerUnresponsive,
       isServerRestarted: () => false,
       onLost() {
         lostAtMs ??= clock.now;
--- a/packages/routing/__tests__/watchPlan.test.ts
+++ b/packages/routing/__tests__/watchPlan.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { createWatchPlan } from '@bluebellhitch/routing';
 
-const routers = Array.from({ length: 24 }, (_none, at) => `10.0.0.${at + 1}:7400`);
+const routers = Array.from({ length: 24 }, (_none, index) => `10.0.0.${index + 1}:7400`);
 
 function createPlan(own: string, live: readonly string[] = routers.filter((one) => one !== own)) {
   return createWatchPlan({
--- a/packages/routing/src/callersServer.ts
+++ b/packages/routing/src/callersServer.ts
@@ -83,12 +83,12 @@
     }
     const { done, release } = bodyReaders.read(incoming, limits.maxBodyBytes);
     outgoing.once('close', release);
-    const read = await done;
-    if (read.kind !== 'whole') {
-      refuseBody(outgoing, read);
+    const bodyRead = await done;
+    if (bodyRead.kind !== 'whole') {
+      refuseBody(outgoing, bodyRead);
       return;
     }
-    const request = { ...head.value, body: read.body };
+    const request = { ...head.value, body: bodyRead.body };
     await options.serve(createHttpExchange(request, outgoing, () => isDraining));
   }
 
--- a/packages/routing/src/configurationProof.ts
+++ b/packages/routing/src/configurationProof.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks how long ago the configuration in force was proved to be the newest. This bounds how long a revoked API key
  * works: after a fixed time no router may run requests with it, even if the router is partitioned, frozen or slow. A
- * proof counts from the start of a call to the platform, never from its answer, because an answer may have been in
+ * proof counts from the start of a call to the platform, never from its response, because a response may have been in
  * transit, or the process suspended, for any length of time. Routers that leave the watching to relays ask those for
  * their proof, and count it from the time of the question.
  *
@@ -84,7 +84,7 @@
   let isUnusable = false;
   /** The configuration in force here; version 0 before the first. */
   let configuration = { version: 0, inForceSince: readClocks() };
-  /** The newest version that an answering router has in force. */
+  /** The newest version that is active in an answering router. */
   let newestPeerVersion = 0;
   let hasAnswer = false;
   /** Time of the first attempt to ask, whether or not there was a router to ask. */
@@ -171,7 +171,7 @@
    * Whether routers that were running before the platform was restored have had time to report a newer configuration
    * than the one in its backup. In the first era there has been no restore, and nothing to wait for.
    */
-  function hasHeardOthers(): boolean {
+  function hasCheckedPeers(): boolean {
     const hasWaited = firstAskedAt !== undefined && ageMsOf(firstAskedAt) > firstAnswerWaitMs;
     return isFirstEra() || hasAnswer || hasWaited;
   }
@@ -184,11 +184,11 @@
    */
   function canVouch(): boolean {
     const hasNewest = isFirstEra() || ownVersion() >= newestPeerVersion;
-    return ownVersion() > 0 && hasNewest && hasHeardOthers();
+    return ownVersion() > 0 && hasNewest && hasCheckedPeers();
   }
 
   function canProve(): boolean {
-    return !isUnusable && hasHeardOthers();
+    return !isUnusable && hasCheckedPeers();
   }
 
   async function run(signal: AbortSignal): Promise<void> {
--- a/packages/routing/src/decodePlacement.ts
+++ b/packages/routing/src/decodePlacement.ts
@@ -291,7 +291,7 @@
     }
     stream.release();
     if (outcome.kind === 'done') {
-      // This answer may itself have announced that the engine is leaving; a prefill would then be wasted.
+      // This response may itself have announced that the engine is leaving; a prefill would then be wasted.
       backend.releaseReservation(outcome.value);
       waiter.failedIds.add(server.id);
     } else {
--- a/packages/routing/src/engineLoads.ts
+++ b/packages/routing/src/engineLoads.ts
@@ -86,16 +86,16 @@
 const maxReportAgeMs = 1_100;
 /** A report older than this is less accurate than the known placements, and is ignored. */
 const reportLifetimeMs = 5_000;
-/** After an answer to any call an engine counts as responsive for this long. */
+/** After a response to any call an engine counts as responsive for this long. */
 const contactLifetimeMs = 500;
 /** A rejection is remembered until another stream may have ended. */
 const rejectionLifetimeMs = 60;
 /**
  * Standard deviations of the memory forecast to keep free above its mean. A stream that an engine pauses for lack of
  * memory is late and has its prompt prefilled again, which costs more than letting a stream wait. In 20 replayed bursts
- * with answers much longer than their prompts, 438,000 tokens were prefilled again with this margin and 4,333 of 6,283
- * requests served on time; counting three quarters of each expected answer instead gave 1,362,000 and 4,221. Where
- * prompts take most of the memory, both perform alike.
+ * with responses much longer than their prompts, 438,000 tokens were prefilled again with this margin and 4,333 of
+ * 6,283 requests served on time; counting three quarters of each expected response instead gave 1,362,000 and 4,221.
+ * Where prompts take most of the memory, both perform alike.
  */
 const marginDeviations = 2.5;
 /** Assumed tokens of a prompt in an engine's reported queue: other routers' prompts are about the size of ours. */
@@ -146,9 +146,9 @@
     return runOnce(() => apply(-amount));
   }
 
-  function place(serverId: string, outlook: StreamEstimate): PlacedStream {
+  function place(serverId: string, estimate: StreamEstimate): PlacedStream {
     const state = stateOf(serverId);
-    const stream = { ...outlook };
+    const stream = { ...estimate };
     state.ownStreams.add(stream);
     recordChange(state, heldTokens(stream));
     onOwnUseChange(serverId);
--- a/packages/routing/src/objectFollower.ts
+++ b/packages/routing/src/objectFollower.ts
@@ -56,7 +56,7 @@
   onAvailable(agoMs: number): void;
   /** Called when the store was restored from a backup: the list that follows may be older than the known objects. */
   onEraChanged?: (era: number) => void;
-  /** Called after an answer of the store has been applied. */
+  /** Called after a response of the store has been applied. */
   onSeen?: (seen: SeenChanges) => void;
   /** Whether peers watch on behalf of this process and relay the changes to it. */
   hasRelays?: () => boolean;
@@ -129,7 +129,7 @@
     const startedAt = readClocks();
     const peerRevisionBefore = newestPeerRevision;
     const listed = await store.list(kind);
-    noteAnswer(listed, signal);
+    noteResponse(listed, signal);
     return listed.map(({ objects, cursor: from }) => {
       noteEra(eraOf(Number(from)));
       objects.forEach(({ version }) => noteRevision(version));
@@ -152,7 +152,7 @@
   }
 
   async function watch(from: string, signal: AbortSignal): Promise<Result<void, PlatformError>> {
-    // The first watch after an outage does not wait: its answer shows that the store has recovered, and removals that
+    // The first watch after an outage does not wait: its response shows that the store has recovered, and removals that
     // are delayed because of the outage must not be delayed further by the duration of a watch.
     const waitMs = isStoreAvailable && !isRefreshDue && !isVerifying() ? watchWaitMs() : minWatchMs;
     isRefreshDue = false;
@@ -166,7 +166,7 @@
     if (abandoned.signal.aborted) {
       return ok(undefined);
     }
-    noteAnswer(reply, signal);
+    noteResponse(reply, signal);
     return reply.map(({ events, cursor: nextCursor, compacted }) => {
       hasNewEvents = events.length > 0;
       if (compacted) {
@@ -179,7 +179,7 @@
     });
   }
 
-  /** A peer revision that was reported before the call and is not in its answer does not exist. */
+  /** A peer revision that was reported before the call and is not in its response does not exist. */
   function reportProof(startedAt: ClockReading, peerRevisionBefore: StorePosition): void {
     if (newestPeerRevision === peerRevisionBefore) {
       newestPeerRevision = seenRevision;
@@ -228,8 +228,8 @@
 
   /**
    * Aborts a waiting watch, as its connection may be dead. The call that follows is not aborted, however often peers
-   * report newer revisions: on a slow link its answer may take seconds, and repeated aborts would prevent it from ever
-   * being read.
+   * report newer revisions: on a slow link its response may take seconds, and repeated aborts would prevent it from
+   * ever being read.
    */
   function refresh(): void {
     isRefreshDue = true;
@@ -285,17 +285,17 @@
     upToDateAtMs = Math.max(upToDateAtMs, nowMs - ageMs);
   }
 
-  /** Runs before the answer is applied, because removals are treated differently right after an outage. */
-  function noteAnswer(answer: Result<unknown, PlatformError>, signal: AbortSignal): void {
-    if (answer.isOk()) {
+  /** Runs before the response is applied, because removals are treated differently right after an outage. */
+  function noteResponse(response: Result<unknown, PlatformError>, signal: AbortSignal): void {
+    if (response.isOk()) {
       noteStoreAvailable();
     } else if (!signal.aborted) {
       hasFailed = true;
-      noteStoreLost(answer.error);
+      noteStoreLost(response.error);
     }
   }
 
-  /** The first answer after the start of this process is not a recovery, and none is reported to peers. */
+  /** The first response after the start of this process is not a recovery, and none is reported to peers. */
   function noteStoreAvailable(): void {
     if (hasFailed) {
       hasFailed = false;
@@ -325,7 +325,7 @@
     return upToDateAtMs + relayTimeoutMs() - monotonicNowMs();
   }
 
-  /** Peers are still relaying changes: the answer only verifies that none is missing. */
+  /** Peers are still relaying changes: the response only verifies that none is missing. */
   function isVerifying(): boolean {
     return hasRelays() && relayLeftMs() > 0;
   }
--- a/packages/routing/src/peerExchange.ts
+++ b/packages/routing/src/peerExchange.ts
@@ -67,7 +67,7 @@
 interface Peer {
   incarnation?: string;
   sequence: number;
-  /** Last message received from it, by this process or by one that reported a sighting. */
+  /** Last message received from it, by this process or by one that reported the contact. */
   lastContactAtMs: number;
   /** When it last sent what it has in progress. */
   useReceivedAtMs: number;
@@ -87,18 +87,18 @@
 /** Three heartbeats, and a margin. */
 const peerTimeoutMs = 3_200;
 /**
- * A peer that no router has heard from for this long is removed. In this time a sighting of one router reaches each of
+ * A peer that no router has heard from for this long is removed. In this time a contact with one router reaches each of
  * 300 others about four times.
  */
 const forgetAfterMs = 60_000;
-/** Sightings older than this are not passed on: they would keep a stopped router known for ever. */
+/** Contacts older than this are not passed on: they would keep a stopped router known indefinitely. */
 const maxSharedAgeMs = 20_000;
-const sightingsPerMessage = 10;
+const contactsPerMessage = 10;
 /**
  * Larger changes are relayed without their objects, which peers then fetch: a fragmented datagram is lost more often.
  */
 const maxRelayBytes = 8_192;
-/** Number of routers of other shards that receive sightings with each heartbeat. */
+/** Number of routers of other shards that receive contacts with each heartbeat. */
 const crossShardTargets = 2;
 
 /** Starts the exchange; rejects if the port is in use. */
@@ -145,8 +145,8 @@
     }
   }
 
-  /** Records a sighting by another process; its age keeps a stopped router from being passed around. */
-  function noteSighting({ address, ageMs }: PeerContact): void {
+  /** Records a contact reported by another process; its age keeps a stopped router from being passed around. */
+  function notePeerContact({ address, ageMs }: PeerContact): void {
     if (address === ownAddress || ageMs > forgetAfterMs) {
       return;
     }
@@ -163,7 +163,7 @@
     isFull: boolean,
     engines: PeerEngineUse[],
     addresses: readonly string[],
-    sightings: PeerContact[] = isFull ? sampleSightings() : [],
+    contacts: PeerContact[] = isFull ? sampleContacts() : [],
   ): Promise<unknown> {
     sequence += 1;
     const message: PeerMessage = {
@@ -172,7 +172,7 @@
       sequence,
       isFull,
       engines,
-      peers: sightings,
+      peers: contacts,
       seenRevisions: options.seenRevisions(),
     };
     return socket.send(encodePeerMessage(message), addresses);
@@ -200,12 +200,12 @@
     return targetPeers().filter((address) => peers.get(address)?.isLive);
   }
 
-  function sampleSightings(): PeerContact[] {
+  function sampleContacts(): PeerContact[] {
     const nowMs = monotonicNowMs();
     const fresh = [...peers].filter(
       ([, peer]) => peer.incarnation !== undefined && nowMs - peer.lastContactAtMs < maxSharedAgeMs,
     );
-    return sample(fresh, sightingsPerMessage).map(([address, { lastContactAtMs }]) => ({
+    return sample(fresh, contactsPerMessage).map(([address, { lastContactAtMs }]) => ({
       address,
       ageMs: Math.max(0, nowMs - lastContactAtMs),
     }));
@@ -219,12 +219,12 @@
       .map(({ item }) => item);
   }
 
-  /** So that parts hear of each other's routers, and of changes that one of them has seen. */
+  /** Lets shards learn of each other's routers, and of revisions that one of them has seen. */
   function gossipAcrossShards(shardPeers: readonly string[]): void {
     const known = new Set(shardPeers);
     const others = [...peers.keys()].filter((address) => !known.has(address));
     if (others.length > 0) {
-      void send(false, [], sample(others, crossShardTargets), sampleSightings());
+      void send(false, [], sample(others, crossShardTargets), sampleContacts());
     }
   }
 
@@ -310,12 +310,12 @@
       options.onPeerUse(message.senderAddress, message.engines, message.isFull);
     }
     options.onPeerRevisions(message.seenRevisions);
-    message.peers.forEach(noteSighting);
+    message.peers.forEach(notePeerContact);
     reportMembership();
   }
 
   /**
-   * A router of another shard sends sightings only, unless its view of the shards differs and it counts this router as
+   * A router of another shard sends contacts only, unless its view of the shards differs and it counts this router as
    * a shard peer.
    */
   function isFromShardPeer({ senderAddress, isFull, engines }: PeerMessage): boolean {
--- a/packages/routing/src/placementChoice.ts
+++ b/packages/routing/src/placementChoice.ts
@@ -20,7 +20,7 @@
 /** Share of the pool's memory that late requests must leave free. */
 const lateHeadroomShare = 0.2;
 
-/** Whether a late request may be placed. A late answer is worth little and must not use memory needed for others. */
+/** Whether a late request may be placed. A late response is worth little and must not use memory needed for others. */
 export function hasHeadroom(
   candidates: readonly PlacementCandidate[],
   { stream, engineTokens }: { stream: StreamEstimate; engineTokens: number },
--- a/packages/routing/src/plainRequest.ts
+++ b/packages/routing/src/plainRequest.ts
@@ -1,4 +1,4 @@
-/** Serves a request of a plain route: one complete answer, with further attempts where the route allows them. */
+/** Serves a request of a plain route: one complete response, with further attempts where the route allows them. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { BackendResponse, CallOutcome, NotRunCause } from './backendApi';
 import type { CompleteResponse } from './callerApi';
@@ -17,9 +17,9 @@
 
 /** Outcome of one attempt. */
 type Attempt =
-  | { kind: 'answer'; answer: CompleteResponse }
-  /** An error answer of the server; forwarded unless a further attempt has a better outcome. */
-  | { kind: 'server-failure'; answer: CompleteResponse }
+  | { kind: 'answer'; response: CompleteResponse }
+  /** An error response of the server; forwarded unless a further attempt has a better outcome. */
+  | { kind: 'server-failure'; response: CompleteResponse }
   | { kind: 'unreachable' }
   /** Not sent: by then the server no longer accepted requests. */
   | { kind: 'withheld' }
@@ -27,8 +27,8 @@
   | { kind: 'misdirected' }
   | { kind: 'rejected' }
   | { kind: 'lost'; detail: string }
-  /** The answer was too long to buffer and was streamed to the caller. */
-  | { kind: 'forwarded'; isWhole: boolean };
+  /** The response was too long to buffer and was streamed to the caller. */
+  | { kind: 'forwarded'; isComplete: boolean };
 
 type UnavailableChoice = Extract<PlainChoice, { retryAfterMs: number }>;
 
@@ -42,7 +42,7 @@
 
 const minServerErrorStatus = 500;
 /**
- * An attempt that has not begun its answer within this multiple of the route's target latency times out, if another
+ * An attempt that has not started its response within this multiple of the route's target latency times out, if another
  * server may be tried.
  */
 const attemptTimeoutFactor = 2.5;
@@ -62,7 +62,7 @@
     const attempt = await runAttempt(server, state, deps);
     noteStep(state, `${server.id} ${attempt.kind}`);
     if (attempt.kind === 'answer') {
-      state.exchange.respond(attempt.answer);
+      state.exchange.respond(attempt.response);
       return;
     }
     if (attempt.kind === 'forwarded') {
@@ -107,7 +107,7 @@
   }
 }
 
-/** Ranks outcomes: a server's answer comes first, then an outcome after which the request may have run. */
+/** Ranks outcomes: a server's response comes first, then an outcome after which the request may have run. */
 function betterAttempt(known: Attempt | undefined, attempt: Attempt): Attempt {
   const ranks = {
     forwarded: 5,
@@ -125,7 +125,7 @@
 function finish(state: RequestState, progress: PlainProgress): void {
   const { best } = progress;
   if (best?.kind === 'answer' || best?.kind === 'server-failure') {
-    state.exchange.respond(best.answer);
+    state.exchange.respond(best.response);
     return;
   }
   state.exchange.refuse(createRefusal(state, progress));
@@ -206,7 +206,7 @@
     case 'lost':
       return { kind: 'lost', detail: outcome.detail };
     case 'done':
-      return readAnswer(outcome.value, state);
+      return readResponse(outcome.value, state);
   }
 }
 
@@ -222,25 +222,25 @@
   }
 }
 
-async function readAnswer(answer: BackendResponse, state: RequestState): Promise<Attempt> {
-  const { status, headers, isSealed } = answer;
+async function readResponse(response: BackendResponse, state: RequestState): Promise<Attempt> {
+  const { status, headers, isSealed } = response;
   if (!isSealed) {
-    await drainBody(answer.body);
+    await drainBody(response.body);
     return { kind: 'lost', detail: `unsealed answer ${status}` };
   }
   const isStream = state.route.kind === routeKinds.stream;
-  const bodyRead = await readWholeBody(answer.body, isStream ? 0 : undefined);
+  const bodyRead = await readWholeBody(response.body, isStream ? 0 : undefined);
   if (bodyRead.kind === 'lost') {
     return { kind: 'lost', detail: bodyRead.detail };
   }
   if (bodyRead.kind === 'long') {
     const writer = state.exchange.startResponse(status, headers);
     const forwarded = await forwardBody(writer, bodyRead.start, bodyRead.rest);
-    return { kind: 'forwarded', isWhole: forwarded.kind === 'whole' };
+    return { kind: 'forwarded', isComplete: forwarded.kind === 'whole' };
   }
-  const whole = { status, headers, body: bodyRead.body };
+  const completeResponse = { status, headers, body: bodyRead.body };
   const isFailure = status >= minServerErrorStatus && state.route.kind === routeKinds.idempotent;
-  return { kind: isFailure ? 'server-failure' : 'answer', answer: whole };
+  return { kind: isFailure ? 'server-failure' : 'answer', response: completeResponse };
 }
 
 function recordHealth(
@@ -255,8 +255,8 @@
   const hasCallerLeft = state.exchange.signal.aborted;
   const isSuccess =
     attempt.kind === 'rejected' ||
-    (attempt.kind === 'forwarded' && attempt.isWhole) ||
-    (attempt.kind === 'answer' && attempt.answer.status < minServerErrorStatus);
+    (attempt.kind === 'forwarded' && attempt.isComplete) ||
+    (attempt.kind === 'answer' && attempt.response.status < minServerErrorStatus);
   if (isSuccess || !hasCallerLeft) {
     health.record(server.id, isSuccess ? 'success' : 'failure', monotonicNowMs());
   }
--- a/packages/routing/src/prefillStage.ts
+++ b/packages/routing/src/prefillStage.ts
@@ -167,7 +167,7 @@
     }
     const cause = outcome.kind === 'not-run' ? outcome.cause.kind : outcome.kind;
     if (cause === 'other-server') {
-      // The listed server is gone: mark it, so that other routers do not have to detect it themselves.
+      // The listed server has stopped: mark it, so that other routers do not have to detect it themselves.
       engineLoads.noteUnresponsive(server.id);
     }
     if (cause !== 'rejected' && cause !== 'withheld' && !state.signal.aborted) {
--- a/packages/routing/src/requestRouter.ts
+++ b/packages/routing/src/requestRouter.ts
@@ -1,4 +1,4 @@
-/** Routes a caller's request, serves it to its final answer or refusal, and records its outcome in one log line. */
+/** Routes a caller's request, serves it to its final response or refusal, and records its outcome in one log line. */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { DecisionRing } from '@bluebellhitch/telemetry';
 import type { ResponseWriter, CallerExchange, CompleteResponse } from './callerApi';
@@ -190,10 +190,10 @@
   const exchange: CallerExchange = {
     request: inner.request,
     signal: inner.signal,
-    respond(answer: CompleteResponse) {
-      outcome = `answered-${answer.status}`;
+    respond(response: CompleteResponse) {
+      outcome = `answered-${response.status}`;
       noteFirstByte();
-      inner.respond(answer);
+      inner.respond(response);
     },
     refuse(refusal: Refusal) {
       isNotRun = refusal.kind === 'not-run';
--- a/packages/routing/src/requestState.ts
+++ b/packages/routing/src/requestState.ts
@@ -49,7 +49,7 @@
   isAccessGranted?: () => boolean;
 }
 
-/** Starts the request's timer; call `end` once the request has its answer. */
+/** Starts the request's timer; call `end` once the request has its response. */
 export function createRequestState(options: RequestStateOptions): {
   state: RequestState;
   end: () => void;
@@ -89,9 +89,9 @@
 }
 
 /**
- * Refusal for a request that may have run and has no complete answer. A call's own time-out ends at the same moment as
- * the request's and may fire first, so the remaining time is checked as well: otherwise the caller would be told of a
- * lost answer instead of a time-out.
+ * Refusal for a request that may have run and has no complete response. A call's own time-out ends at the same moment
+ * as the request's and may fire first, so the remaining time is checked as well: otherwise the caller would be told of
+ * a lost response instead of a time-out.
  */
 export function createLostRefusal(state: RequestState, detail: string): Refusal {
   const hasTimedOut = state.expiry.aborted || remainingMs(state) <= timerToleranceMs;
--- a/packages/routing/src/routerMetrics.ts
+++ b/packages/routing/src/routerMetrics.ts
@@ -178,7 +178,7 @@
     setServers: (count) => servers.set(count),
     setLimitedServers: (count) => limitedServers.set(count),
     countPermit: (outcome) => permits.inc({ outcome }),
-    countServerNotice: (word) => serverNotices.inc({ word }),
+    countServerNotice: (notice) => serverNotices.inc({ word: notice }),
     countUnreadableObject: (kind) => unreadableObjects.inc({ kind }),
     countRefusedAtOnce: (cause, workspace) =>
       refusedAtOnce.inc({
--- a/packages/routing/src/stageBalancer.ts
+++ b/packages/routing/src/stageBalancer.ts
@@ -47,7 +47,7 @@
 const orderTimeoutMs = 600;
 /** A lease is usable for at least this long, whatever `leaseMs` is. */
 const minUsableMs = 2_000;
-/** An engine finishes its running work before it changes; this allows for a long answer. */
+/** An engine finishes its running work before it changes; this allows for a long response. */
 const drainMs = 10_000;
 
 export function createStageBalancer(options: StageBalancerOptions): BackgroundLoop {
@@ -133,7 +133,7 @@
       orderTimeoutMs,
     );
     logger.info('stage ordered', { serverId: server.id, stage, outcome, service: service.name });
-    // An order without an answer may still be carried out.
+    // An order without a response may still be carried out.
     if (outcome.kind !== 'not-run') {
       const switchMs = service.engine?.stageSwitchMs ?? 0;
       pending.set(server.id, { stage, untilMs: monotonicNowMs() + switchMs + drainMs });
--- a/packages/routing/src/streamRelay.ts
+++ b/packages/routing/src/streamRelay.ts
@@ -1,6 +1,6 @@
 /**
- * Relays a stream's events to the caller, complete and in order. The answer begins with the first event, so that a run
- * that breaks earlier can still be refused or retried on another server.
+ * Relays a stream's events to the caller, complete and in order. The response begins with the first event, so that a
+ * run that breaks earlier can still be refused or retried on another server.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import type { BackendResponse } from './backendApi';
@@ -13,19 +13,19 @@
 export type RelayOutcome = { kind: 'whole' } | { kind: 'broken'; detail: string };
 
 export interface StreamRelay {
-  /** Relays one run's answer to its end; `onProgress` is called for each chunk received. */
-  relay(answer: BackendResponse, onProgress: () => void): Promise<RelayOutcome>;
-  hasBegun(): boolean;
+  /** Relays one run's response to its end; `onProgress` is called for each chunk received. */
+  relay(response: BackendResponse, onProgress: () => void): Promise<RelayOutcome>;
+  hasStarted(): boolean;
   /** The listener is called once, when the next event arrives. */
   onFirstEvent(listener: () => void): void;
-  /** Events of the whole answer so far, including those of earlier runs. */
+  /** Events of the whole response so far, including those of earlier runs. */
   eventCount(): number;
   /** Time from the first event that was relayed to the last. */
   eventsDurationMs(): number;
   /** Id of the last event that the caller has received. */
   lastEventId(): number | undefined;
-  /** Ends the answer so that the caller can tell that it is incomplete. */
-  cut(): void;
+  /** Aborts the response, so that the caller detects that it is incomplete. */
+  abort(): void;
 }
 
 const okStatus = 200;
@@ -39,32 +39,34 @@
   let firstEventAtMs: number | undefined;
   let lastEventAtMs = 0;
 
-  async function relay(answer: BackendResponse, onProgress: () => void): Promise<RelayOutcome> {
-    if (!answer.isSealed) {
-      await drainBody(answer.body);
-      return { kind: 'broken', detail: `unsealed answer ${answer.status}` };
+  async function relay(response: BackendResponse, onProgress: () => void): Promise<RelayOutcome> {
+    if (!response.isSealed) {
+      await drainBody(response.body);
+      return { kind: 'broken', detail: `unsealed answer ${response.status}` };
     }
-    return answer.status === okStatus ? relayEvents(answer, onProgress) : relayFailure(answer);
+    return response.status === okStatus
+      ? relayEvents(response, onProgress)
+      : relayFailure(response);
   }
 
-  async function relayFailure(answer: BackendResponse): Promise<RelayOutcome> {
-    const read = await readWholeBody(answer.body);
-    if (read.kind !== 'whole' || writer !== undefined) {
-      return { kind: 'broken', detail: `answer ${answer.status}` };
+  async function relayFailure(response: BackendResponse): Promise<RelayOutcome> {
+    const bodyRead = await readWholeBody(response.body);
+    if (bodyRead.kind !== 'whole' || writer !== undefined) {
+      return { kind: 'broken', detail: `answer ${response.status}` };
     }
-    const { status, headers } = answer;
-    exchange.respond({ status, headers, body: read.body });
+    const { status, headers } = response;
+    exchange.respond({ status, headers, body: bodyRead.body });
     return { kind: 'whole' };
   }
 
-  function relayEvents(answer: BackendResponse, onProgress: () => void): Promise<RelayOutcome> {
+  function relayEvents(response: BackendResponse, onProgress: () => void): Promise<RelayOutcome> {
     const splitter = createEventSplitter();
     return new Promise((resolve) => {
-      answer.body.read({
+      response.body.read({
         onData(chunk) {
           const newEvents = splitter.push(chunk).filter(isNewEvent);
           if (newEvents.length > 0) {
-            forward(answer, newEvents);
+            forward(response, newEvents);
           }
           onProgress();
         },
@@ -73,7 +75,7 @@
             resolve({ kind: 'broken', detail: 'ended inside an event' });
             return;
           }
-          writer ??= exchange.startResponse(answer.status, answer.headers);
+          writer ??= exchange.startResponse(response.status, response.headers);
           writer.end();
           resolve({ kind: 'whole' });
         },
@@ -87,27 +89,27 @@
     return id === undefined || lastId === undefined || id > lastId;
   }
 
-  function forward(answer: BackendResponse, events: readonly StreamEvent[]): void {
+  function forward(response: BackendResponse, events: readonly StreamEvent[]): void {
     onNextEvent();
     onNextEvent = () => undefined;
-    writer ??= exchange.startResponse(answer.status, answer.headers);
+    writer ??= exchange.startResponse(response.status, response.headers);
     eventCount += events.length;
     lastEventAtMs = monotonicNowMs();
     firstEventAtMs ??= lastEventAtMs;
     lastId = events.at(-1)?.id ?? lastId;
     const bytes = Buffer.concat(events.map((event) => event.bytes));
-    writeOrPause(writer, bytes, answer.body);
+    writeOrPause(writer, bytes, response.body);
   }
 
   return {
     relay,
-    hasBegun: () => writer !== undefined,
+    hasStarted: () => writer !== undefined,
     onFirstEvent(listener) {
       onNextEvent = listener;
     },
     eventCount: () => eventCount,
     eventsDurationMs: () => lastEventAtMs - (firstEventAtMs ?? lastEventAtMs),
     lastEventId: () => lastId,
-    cut: () => writer?.abort(),
+    abort: () => writer?.abort(),
   };
 }
--- a/packages/routing/src/streamRequest.ts
+++ b/packages/routing/src/streamRequest.ts
@@ -1,6 +1,6 @@
 /**
  * Serves a request of a stream route in one or more runs. If the route allows it, a stream that breaks is resumed by
- * the next run, within the same answer.
+ * the next run, within the same response.
  */
 import { monotonicNowMs } from '@bluebellhitch/shared';
 import { notRunReasons, type EngineSettings, type Refusal } from './model';
@@ -70,8 +70,8 @@
   if (outcome.kind === 'ended') {
     return;
   }
-  if (relay.hasBegun()) {
-    relay.cut();
+  if (relay.hasStarted()) {
+    relay.abort();
     return;
   }
   const refusal: Refusal =
--- a/packages/routing/src/streamRun.ts
+++ b/packages/routing/src/streamRun.ts
@@ -17,7 +17,7 @@
 import type { StreamRelay } from './streamRelay';
 
 export type RunOutcome =
-  /** The caller has its final answer. */
+  /** The caller has its final response. */
   | { kind: 'ended' }
   | { kind: 'not-run'; reason: NotRunReason; retryAfterMs?: number }
   /** The server may have done work; the stream may continue on another server. */
@@ -46,7 +46,7 @@
 /**
  * The same for a run that cannot continue elsewhere: a server that was only unreachable for a moment may still finish
  * it. Without this limit, the caller of a server that lost power would wait several seconds, until its own deadline,
- * for an answer that never arrives.
+ * for a response that never arrives.
  */
 const lastRunUnresponsiveTimeoutShare = 0.4;
 
@@ -77,7 +77,8 @@
     engine,
     stream,
     // Only what the stream needs at its start: an engine pauses running streams to honour reservations not yet used.
-    // With three quarters of the expected answer reserved, 25 to 44 of some 330 streams were paused; with this, 3 to 7.
+    // With three quarters of the expected response reserved, 25 to 44 of some 330 streams were paused; with this,
+    // 3 to 7.
     reservedTokens: stream.promptTokens + stream.emittedTokens,
     isResumed,
     priority: state.priority,
@@ -100,7 +101,7 @@
   return eventTimeoutShare * Math.max(minEventTimeoutMs, 4 * targetLatencyMs, 8 * targetGapMs);
 }
 
-/** Has the prompt prefilled and decodes it in the reserved memory; releases whatever stays unused. */
+/** Has the prompt prefilled and decodes it in the reserved memory; releases what stays unused. */
 async function runAt(run: StreamRun, placement: Placement): Promise<RunOutcome> {
   const { state, deps, prefillStage, size } = run;
   const { server } = placement.reservation;
--- a/packages/routing/src/streamSizes.ts
+++ b/packages/routing/src/streamSizes.ts
@@ -34,7 +34,7 @@
 
 /** The logarithm of a log-logistic variable of shape k has the standard deviation 1.81 / k. */
 const shapeTimesDeviation = Math.PI / Math.sqrt(3);
-/** Used until answers have ended: lengths differ from the caller's estimate by about half, up or down. */
+/** Used until responses have ended: lengths differ from the caller's estimate by about half, up or down. */
 const initialDeviation = 0.5;
 const smoothing = 0.05;
 export const initialLengthShape = shapeTimesDeviation / initialDeviation;
--- a/packages/security/__tests__/tokens.test.ts
+++ b/packages/security/__tests__/tokens.test.ts
@@ -30,9 +30,9 @@
 test('missing and malformed tokens are refused', async (t) => {
   const { accepts, cachedCount } = createTokenVerifier({ keys: [oldKey] });
   const values = [undefined, '', 'Bearer ', 'Bearer a.b.c', 'Basic dXNlcjpwYXNz', 'Bearer'];
-  const answers = await Promise.all(values.map(async (value) => accepts(value, 'agent')));
+  const verdicts = await Promise.all(values.map(async (value) => accepts(value, 'agent')));
   t.deepEqual(
-    answers,
+    verdicts,
     values.map(() => false),
   );
   t.is(cachedCount(), 0);
@@ -78,7 +78,7 @@
       { signing: step[0], keys: before },
     ];
   });
-  const answers = await Promise.all(
+  const verdicts = await Promise.all(
     pairs.map(async ({ signing, keys }) =>
       createTokenVerifier({ keys }).accepts(
         await createTokenSigner({ key: signing, issuer }).bearer('agent'),
@@ -87,7 +87,7 @@
     ),
   );
   t.deepEqual(
-    answers,
+    verdicts,
     pairs.map(() => true),
   );
   const retired = await createTokenSigner({ key: oldKey, issuer }).bearer('agent');
--- a/packages/security/src/innerKeys.ts
+++ b/packages/security/src/innerKeys.ts
@@ -46,9 +46,9 @@
 /** Reads the keys, or returns all findings that prevent the process from starting. */
 export function readInnerKeys(settings: InnerSecuritySettings): Result<InnerKeyChoice, Finding[]> {
   const { innerKeys, innerKeysFile, insecureInner } = settings;
-  const given = [innerKeys, innerKeysFile].filter((setting) => setting !== undefined);
+  const givenSettings = [innerKeys, innerKeysFile].filter((setting) => setting !== undefined);
   if (insecureInner) {
-    return given.length === 0
+    return givenSettings.length === 0
       ? ok({ kind: 'insecure' })
       : err([findingOf('insecureInner', 'contradicts the keys that are given too')]);
   }
@@ -63,11 +63,11 @@
 }
 
 function readKeysFile(path: string): Result<InnerKeyChoice, Finding[]> {
-  const read = Result.fromThrowable(
+  const readFile = Result.fromThrowable(
     () => readFileSync(path, 'utf8'),
     (error) => [findingOf('innerKeysFile', `cannot be read: ${(error as Error).message}`)],
   );
-  return read().andThen((text) => toChoice('innerKeysFile', text));
+  return readFile().andThen((text) => toChoice('innerKeysFile', text));
 }
 
 function toChoice(setting: string, text: string): Result<InnerKeyChoice, Finding[]> {
