--- a/packages/agent/__tests__/drainLeases.test.ts
+++ b/packages/agent/__tests__/drainLeases.test.ts
@@ -13,7 +13,7 @@
 
 // The engine dies, and then its agent is stopped. Every cancellation fails, so that the lease of the request
 // that died with the engine stays in release. No caller waits for it, but without a separate limit the agent
-// would wait for the whole drain bound (a minute in the quickstart) before it exits.
+// would wait for the whole drain timeout (a minute in the quickstart) before it exits.
 test.serial('a lease in release does not delay the stop for the whole timeout', async (t) => {
   const clock = FakeTimers.install();
   const table = fakeTable('releasing');
--- a/packages/agent/__tests__/innerSecurity.test.ts
+++ b/packages/agent/__tests__/innerSecurity.test.ts
@@ -73,11 +73,11 @@
 // `Authorization` on a plain call belongs to the caller and has to reach the backend server, which must not
 // get the credentials of the entry.
 test("plain calls carry the entry's credentials beside the caller's own", async (t) => {
-  const seen: unknown[] = [];
+  const received: unknown[] = [];
   const { agent, server } = await startPlainBench(
     t,
     ({ headers }, outgoing) => {
-      seen.push(headers.authorization, headers['x-bluebell-authorization']);
+      received.push(headers.authorization, headers['x-bluebell-authorization']);
       outgoing.end('balance');
     },
     security,
@@ -88,12 +88,12 @@
   t.is(refused.headers.get('x-bluebell-not-run'), 'true');
   t.is(refused.headers.get('x-bluebell-refusal'), 'not-ready');
   t.like(await refused.json(), { kind: 'refused', notRun: true });
-  t.deepEqual(seen, []);
+  t.deepEqual(received, []);
   const bearer = (await entry.bearer(innerAudiences.agent)) ?? '';
   const response = await fetch(`${server.address}/plain/balance`, {
     headers: { ...own, 'x-bluebell-authorization': bearer },
   });
   t.is(await response.text(), 'balance');
-  t.deepEqual(seen, ['Bearer of-the-caller', undefined]);
+  t.deepEqual(received, ['Bearer of-the-caller', undefined]);
   t.true(await waitUntil(() => agent.leasing.table.leases().length === 0));
 });
--- a/packages/agent/__tests__/plainProxy.test.ts
+++ b/packages/agent/__tests__/plainProxy.test.ts
@@ -5,9 +5,13 @@
 import { plainHeaders, startPlainBench, startPlainBenchAt, waitUntil } from './helpers/innerBench';
 
 test('forwards method, path, headers and body both ways', async (t) => {
-  const seen: { method?: string; url?: string; headers?: IncomingMessage['headers'] } = {};
+  const received: { method?: string; url?: string; headers?: IncomingMessage['headers'] } = {};
   const { server } = await startPlainBench(t, (incoming, outgoing) => {
-    Object.assign(seen, { method: incoming.method, url: incoming.url, headers: incoming.headers });
+    Object.assign(received, {
+      method: incoming.method,
+      url: incoming.url,
+      headers: incoming.headers,
+    });
     outgoing.writeHead(
       201,
       [
@@ -29,11 +33,11 @@
   t.deepEqual(response.headers.getSetCookie(), ['one=1', 'two=2']);
   t.is(response.headers.get(innerHeaders.notRun), null);
   t.like(JSON.parse(response.headers.get(innerHeaders.load) ?? '{}'), { role: 'plain' });
-  t.like(seen, { method: 'PUT', url: '/receipts/7?full=1' });
-  t.is(seen.headers?.['x-own'], 'kept');
-  t.is(seen.headers?.te, undefined);
+  t.like(received, { method: 'PUT', url: '/receipts/7?full=1' });
+  t.is(received.headers?.['x-own'], 'kept');
+  t.is(received.headers?.te, undefined);
   t.deepEqual(
-    Object.keys(seen.headers ?? {}).filter((name) => name.startsWith('x-bluebell')),
+    Object.keys(received.headers ?? {}).filter((name) => name.startsWith('x-bluebell')),
     [],
   );
 });
--- a/packages/agent/__tests__/streams.test.ts
+++ b/packages/agent/__tests__/streams.test.ts
@@ -177,7 +177,7 @@
   t.is(bench.engine.heldKvBytes(), 0);
 });
 
-// The engine hangs without closing the connection, so that the caller would wait for ever.
+// The engine hangs without closing the connection, so that the caller would wait indefinitely.
 test.serial('a stalled engine is detected by its missing progress', async (t) => {
   const bench = await startBench(t, { stepMs: 60_000 });
   const stopHeartbeats = startHeartbeats(bench);
--- a/packages/agent/src/drainLeases.ts
+++ b/packages/agent/src/drainLeases.ts
@@ -17,7 +17,7 @@
 ): Promise<boolean> {
   const isDrained = await waitUntilEmpty(() => runningLeases(table.leases()), timeoutMs);
   runningLeases(table.leases()).forEach(({ attemptId }) => releaser.release(attemptId));
-  // A dead engine never confirms a cancellation, so that its leases would stay in release for ever. No caller
+  // A dead engine never confirms a cancellation, so that its leases would stay in release indefinitely. No caller
   // waits for them; in a live engine, the next agent's first reconciliation cancels what is left.
   await waitUntilEmpty(table.leases, cancelGraceMs);
   return isDrained;
--- a/packages/agent/src/leaseReleaser.ts
+++ b/packages/agent/src/leaseReleaser.ts
@@ -37,8 +37,8 @@
    */
   finish(attemptId: string): void;
   /** Waits for the engine to drop the work's result by itself, and releases it if still listed after `timeoutMs`. */
-  finishOnceGone(attemptId: string, timeoutMs: number): Promise<void>;
-  /** Stops the work and frees its memory: the caller or entry is gone, or it is unknown whether the work ended. */
+  finishOnceReleased(attemptId: string, timeoutMs: number): Promise<void>;
+  /** Stops the work and frees its memory: the caller or entry disconnected, or it is unknown whether the work ended. */
   release(attemptId: string): void;
   /** Compares the engine's list with the lease table; false if the engine did not respond. */
   reconcile(): Promise<boolean>;
@@ -79,7 +79,7 @@
     const isInEngine = stopCallbacks.has(attemptId) && lease.purpose !== 'plain';
     stopCallbacks.get(attemptId)?.();
     if (isInEngine && engine !== undefined) {
-      void cancelUntilGone(engine, attemptId);
+      void cancelUntilReleased(engine, attemptId);
     } else {
       endLease(attemptId);
     }
@@ -89,7 +89,7 @@
    * A cancellation whose response was lost may or may not have taken effect, and one that overtook its own
    * decode call found nothing to cancel. In both cases the engine's list shows whether it has to be repeated.
    */
-  async function cancelUntilGone(target: ReleaseEngine, attemptId: string): Promise<void> {
+  async function cancelUntilReleased(target: ReleaseEngine, attemptId: string): Promise<void> {
     let { retryMs } = limits;
     // Reported once: a dead engine refuses every retry, several per second.
     let onFailed = onCancelFailed;
@@ -104,10 +104,10 @@
     }
   }
 
-  async function finishOnceGone(attemptId: string, timeoutMs: number): Promise<void> {
+  async function finishOnceReleased(attemptId: string, timeoutMs: number): Promise<void> {
     const deadlineAtMs = monotonicNowMs() + timeoutMs;
     while (engine !== undefined && monotonicNowMs() < deadlineAtMs && !closing.signal.aborted) {
-      if (await isGone(engine, attemptId)) {
+      if (await isReleasedByEngine(engine, attemptId)) {
         finish(attemptId);
         return;
       }
@@ -116,7 +116,7 @@
     release(attemptId);
   }
 
-  async function isGone(target: ReleaseEngine, attemptId: string): Promise<boolean> {
+  async function isReleasedByEngine(target: ReleaseEngine, attemptId: string): Promise<boolean> {
     const holdings = await withTimeout(target.streams(), limits.callTimeoutMs);
     return holdings.isOk() && holdings.value.every((holding) => holding.attemptId !== attemptId);
   }
@@ -134,7 +134,7 @@
     if (cancelled.isErr()) {
       onFailed(attemptId, cancelled.error.kind);
     }
-    return isGone(target, attemptId);
+    return isReleasedByEngine(target, attemptId);
   }
 
   async function reconcile(): Promise<boolean> {
@@ -161,13 +161,13 @@
     }
     table.adopt(attemptId, heldKvBytes, monotonicNowMs());
     void delay(limits.adoptionGraceMs, closing.signal).then(() =>
-      cancelUntilGone(target, attemptId),
+      cancelUntilReleased(target, attemptId),
     );
   }
 
   return {
     finish,
-    finishOnceGone,
+    finishOnceReleased,
     release,
     reconcile,
     registerTask: (attemptId, stop) => {
--- a/packages/agent/src/prefillRunner.ts
+++ b/packages/agent/src/prefillRunner.ts
@@ -143,7 +143,7 @@
   function expireExport(attemptId: string): void {
     if (table.get(attemptId)?.state === 'exported') {
       observer.onExportExpired(attemptId);
-      void releaser.finishOnceGone(attemptId, transferGraceMs);
+      void releaser.finishOnceReleased(attemptId, transferGraceMs);
     }
   }
 
--- a/packages/bench/src/experiments/goodput.ts
+++ b/packages/bench/src/experiments/goodput.ts
@@ -44,7 +44,7 @@
  * Engine profile for times scaled by `timeScale`. Scales the KV cache size instead of the link rate: agents do not
  * learn the link rate, and would predict the end of transfers over a slower link too early by this factor.
  */
-export function stretchedEngine(timeScale: number): EngineProfile {
+export function scaleGoodputEngine(timeScale: number): EngineProfile {
   return {
     ...goodputEngine,
     capacityKvBytes: goodputEngine.capacityKvBytes * timeScale,
@@ -79,7 +79,12 @@
   institution: InstitutionName,
   { timeScale }: GoodputOptions,
 ) {
-  return describeFleet({ ...context, institution, engine: stretchedEngine(timeScale), timeScale });
+  return describeFleet({
+    ...context,
+    institution,
+    engine: scaleGoodputEngine(timeScale),
+    timeScale,
+  });
 }
 
 async function estimateInstitutionCapacity(
--- a/packages/bench/src/experiments/overheadFleet.ts
+++ b/packages/bench/src/experiments/overheadFleet.ts
@@ -13,7 +13,7 @@
 import { createText } from '../traffic/promptText';
 import type { ExperimentContext } from './context';
 
-/** Decodes at the target time between tokens, with room for all streams, so that no request queues. */
+/** Decodes at the target time between tokens, with capacity for all streams, so that no request queues. */
 export const overheadEngine: EngineProfile = {
   slotCount: 256,
   capacityKvBytes: 4_000_000_000,
--- a/packages/bench/src/experiments/quotaStrategies.ts
+++ b/packages/bench/src/experiments/quotaStrategies.ts
@@ -57,22 +57,22 @@
   seeds: readonly number[],
 ): Row[] {
   return Object.entries(loads).flatMap(([name, shape]) =>
-    strategies.map((way) => measureRow({ name, shape }, way, seeds)),
+    strategies.map((strategy) => measureRow({ name, shape }, strategy, seeds)),
   );
 }
 
 function measureRow(
   { name, shape }: { name: string; shape: QuotaLoad },
-  way: QuotaStrategy,
+  strategy: QuotaStrategy,
   seeds: readonly number[],
 ): Row {
-  const all = seeds.map((seed) => runQuotaReplay({ load: shape, way, seed }));
+  const all = seeds.map((seed) => runQuotaReplay({ load: shape, strategy, seed }));
   const sum = (read: (figures: QuotaFigures) => number) =>
     all.reduce((total, figures) => total + read(figures), 0);
   const owed = sum((figures) => figures.owed);
   return {
     load: name,
-    way,
+    way: strategy,
     owedServed: sum(({ owedAdmitted }) => owedAdmitted) / owed,
     admitted: sum((figures) => figures.admitted) / owed,
     fullestWindow: Math.max(...all.map(({ worstWindowShare }) => worstWindowShare)),
--- a/packages/ctl/src/serviceReport.ts
+++ b/packages/ctl/src/serviceReport.ts
@@ -115,14 +115,14 @@
   );
   const current = active.filter(({ generation }) => generation === view.accepted?.generation);
   const others = active.filter(({ generation }) => generation !== view.accepted?.generation);
-  const silent = processes.flatMap((process) => (process.kind === 'silent' ? [process] : []));
+  const unresponsive = processes.flatMap((process) => (process.kind === 'silent' ? [process] : []));
   return [
     `in force: at ${current.length} of ${active.length} processes that answered and know the service`,
     ...indent([
       ...others.map(({ instanceId, dataCentre, generation }) =>
         styles.failure(`${instanceId} in ${dataCentre} has generation ${generation}`),
       ),
-      ...silent.map(({ address, detail }) => styles.dim(`${address}: ${detail}`)),
+      ...unresponsive.map(({ address, detail }) => styles.dim(`${address}: ${detail}`)),
     ]),
   ];
 }
--- a/packages/ctl/src/verbs/explainVerb.ts
+++ b/packages/ctl/src/verbs/explainVerb.ts
@@ -66,14 +66,14 @@
 }
 
 function notFoundReport(requestId: string, lookups: readonly RecordLookup[]) {
-  const silent = lookups.flatMap((lookup) =>
+  const unresponsive = lookups.flatMap((lookup) =>
     lookup.kind === 'silent' ? [`${lookup.address}: ${lookup.detail}`] : [],
   );
   const message = `${requestId}: no process that answered has a record of it; each keeps only its most recent records`;
   return {
     exitCode: ctlExitCodes.failure,
-    data: { error: message, silent },
-    lines: [message, ...silent],
+    data: { error: message, silent: unresponsive },
+    lines: [message, ...unresponsive],
   };
 }
 
--- a/packages/duties/__tests__/helpers/workerFleet.ts
+++ b/packages/duties/__tests__/helpers/workerFleet.ts
@@ -87,9 +87,9 @@
   }
 
   function enqueue(worker: FleetWorker, request: OrderRequest): Promise<OrderReply> {
-    const turn = worker.queue.then(() => execute(worker, request));
-    worker.queue = turn;
-    return turn;
+    const reply = worker.queue.then(() => execute(worker, request));
+    worker.queue = reply;
+    return reply;
   }
 
   /** One holder's connection to the fleet, which the test can cut, as for a paused or crashed holder. */
--- a/packages/duties/__tests__/startDuties.test.ts
+++ b/packages/duties/__tests__/startDuties.test.ts
@@ -107,12 +107,12 @@
 
 /** The platform as seen by a process that can crash, after which its calls never complete. */
 function withCrashes(platform: PlatformApi, hasCrashed: () => boolean): PlatformApi {
-  const neverAnswered = <Value>(): ResultAsync<Value, never> =>
+  const neverSettles = <Value>(): ResultAsync<Value, never> =>
     ResultAsync.fromSafePromise(new Promise<Value>(() => {}));
   return {
     ...platform,
-    get: (...call) => (hasCrashed() ? neverAnswered() : platform.get(...call)),
-    update: (...call) => (hasCrashed() ? neverAnswered() : platform.update(...call)),
-    watch: (...call) => (hasCrashed() ? neverAnswered() : platform.watch(...call)),
+    get: (...call) => (hasCrashed() ? neverSettles() : platform.get(...call)),
+    update: (...call) => (hasCrashed() ? neverSettles() : platform.update(...call)),
+    watch: (...call) => (hasCrashed() ? neverSettles() : platform.watch(...call)),
   };
 }
--- a/packages/duties/src/acceptor.ts
+++ b/packages/duties/src/acceptor.ts
@@ -26,7 +26,7 @@
   logger?: DutyLogger;
   /** Longest time that one watch call waits for changes. */
   watchWaitMs?: number;
-  /** Interval at which all objects are listed and compared again, whatever the watch reported. */
+  /** Interval at which all objects are listed and compared again, regardless of what the watch reported. */
   resyncIntervalMs?: number;
   /** Pause after a failed call, and the interval at which an idle acceptor checks whether it holds the lease. */
   pauseMs?: number;
@@ -126,7 +126,7 @@
   return { run };
 }
 
-/** Services whose document was edited or removed since the last report, or was rejected: the cause may be gone. */
+/** Services whose document was edited or removed since the last report, or was rejected: the cause may have ended. */
 function findUnsettledServices(documents: readonly StoredObject[], cache: AcceptorCache): string[] {
   const edited = documents.filter((object) => !cache.isSettled(object)).map(({ key }) => key);
   const present = new Set(documents.map(({ key }) => key));
--- a/packages/duties/src/documentReconciler.ts
+++ b/packages/duties/src/documentReconciler.ts
@@ -2,8 +2,8 @@
  * Brings one service's `accepted` and `status` objects in line with its `document` object.
  *
  * Each write is conditional on a version that was read before the document. A write that takes effect is therefore
- * based on a document at least as new as the one behind the value that it replaces, however long its sender was paused
- * and whatever other acceptors wrote in the meantime.
+ * based on a document at least as new as the one behind the value that it replaces, regardless of how long its sender
+ * was paused and of what other acceptors wrote in the meantime.
  */
 import type { ServiceDocument } from '@bluebellhitch/document';
 import { objectKinds, type PlatformApi, type StoredObject } from '@bluebellhitch/objects';
@@ -52,11 +52,11 @@
   }
 
   async function reconcileOnce(service: string): Promise<StepOutcome> {
-    const read = await platform.get(objectKinds.document, service);
-    if (read.isErr()) {
-      return read.error.kind === 'not-found' ? reportRemoval(service) : 'later';
+    const stored = await platform.get(objectKinds.document, service);
+    if (stored.isErr()) {
+      return stored.error.kind === 'not-found' ? reportRemoval(service) : 'later';
     }
-    const object = read.value;
+    const object = stored.value;
     const verdict = evaluate(object);
     if (verdict.kind === 'changed') {
       const accepted = await writeAccepted(object, verdict.document);
--- a/packages/duties/src/routeConflicts.ts
+++ b/packages/duties/src/routeConflicts.ts
@@ -2,7 +2,7 @@
 import type { Route, ServiceDocument } from '@bluebellhitch/document';
 import type { Finding } from '@bluebellhitch/shared';
 
-/** Routes in force by service. */
+/** Active routes by service. */
 export type RoutesByService = ReadonlyMap<string, readonly Route[]>;
 
 /** The `service` field must equal the key of the object that contains the document. */
@@ -19,9 +19,12 @@
   ];
 }
 
-/** One finding for each route and other service that has it in force. */
-export function findRouteConflicts(document: ServiceDocument, inForce: RoutesByService): Finding[] {
-  const others = [...inForce].filter(([service]) => service !== document.service);
+/** One finding for each route and other service with an active route that overlaps it. */
+export function findRouteConflicts(
+  document: ServiceDocument,
+  activeRoutes: RoutesByService,
+): Finding[] {
+  const others = [...activeRoutes].filter(([service]) => service !== document.service);
   return document.routes.flatMap((route, index) =>
     others
       .filter(([, routes]) => routes.some((other) => routesOverlap(route, other)))
--- a/packages/engine/__tests__/httpEngineClient.test.ts
+++ b/packages/engine/__tests__/httpEngineClient.test.ts
@@ -174,11 +174,11 @@
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     response.write(`data: ${JSON.stringify(progress)}\n\n`, () => response.destroy());
   });
-  const seen: number[] = [];
+  const receivedSizes: number[] = [];
   const result = await client.importKv(
     { attemptId: 'a', kvAddress: 'http://127.0.0.1:1', exportId: 'e', rateBytesPerSecond: 1 },
-    ({ receivedBytes }) => seen.push(receivedBytes),
+    ({ receivedBytes }) => receivedSizes.push(receivedBytes),
   );
-  t.deepEqual(seen, [1]);
+  t.deepEqual(receivedSizes, [1]);
   t.is(result._unsafeUnwrapErr().kind, 'died');
 });
--- a/packages/entry/__tests__/callerErrors.test.ts
+++ b/packages/entry/__tests__/callerErrors.test.ts
@@ -91,7 +91,7 @@
 
 Object.entries(errorCases).forEach(([name, errorCase]) => {
   test(`${name}: ${errorCase.status}`, async (t) => {
-    const { address, side } = await start(t);
+    const { address, callersApi } = await start(t);
     const { path = '/v1/chat/completions', method = 'POST', headers, body } = errorCase;
     const response = await fetch(`${address}${path}`, { method, headers, body });
     t.is(response.status, errorCase.status);
@@ -101,7 +101,7 @@
       notRun: true,
       status: errorCase.status,
     });
-    await eventually(t, () => side.activeCount() === 0);
+    await eventually(t, () => callersApi.activeCount() === 0);
   });
 });
 
@@ -131,10 +131,10 @@
 // A sender stops in the middle of its body and keeps the connection open. Without a time limit it would
 // occupy a connection and a buffer indefinitely.
 test('a body that does not arrive in time: 408', async (t) => {
-  const { address, side } = await start(t);
+  const { address, callersApi } = await start(t);
   const response = await sendRaw(address, [...head, 'Content-Length: 50', '', '{"model"']);
   t.regex(response, /^HTTP\/1.1 408 /);
-  t.is(side.activeCount(), 0);
+  t.is(callersApi.activeCount(), 0);
 });
 
 test('a header that does not arrive in time: 408', async (t) => {
--- a/packages/entry/__tests__/callersApiDrain.test.ts
+++ b/packages/entry/__tests__/callersApiDrain.test.ts
@@ -18,9 +18,9 @@
     await gate;
     yield* completeResponse({ ...request, emitted: { tokenCount: 1, text: '' } });
   };
-  const { address, side } = await startHarness(t, { agents: [agent] });
+  const { address, callersApi } = await startHarness(t, { agents: [agent] });
   const running = await chat(address, { stream: true });
-  const drained = side.drain(5_000);
+  const drained = callersApi.drain(5_000);
   await t.throwsAsync(chat(address));
   release();
   t.is(eventsOf(await running.text()).at(-1), '[DONE]');
@@ -33,9 +33,9 @@
     yield* tokens(request, 1);
     yield* untilAborted(signal);
   };
-  const { address, side, context } = await startHarness(t, { agents: [agent] });
+  const { address, callersApi, context } = await startHarness(t, { agents: [agent] });
   const running = await chat(address, { stream: true });
-  t.false(await side.drain(50));
+  t.false(await callersApi.drain(50));
   t.like(eventsOf(await running.text()).at(-1), { error: { reason: 'leaving', notRun: false } });
   await context.cancellations.settled();
   await eventually(t, () => agent.held.size === 0);
--- a/packages/entry/__tests__/cancel.test.ts
+++ b/packages/entry/__tests__/cancel.test.ts
@@ -105,7 +105,7 @@
     response.catch(() => undefined);
     await eventually(t, () => stage.isReached(decode, prefill));
     caller.abort();
-    await eventually(t, () => harness.side.activeCount() === 0);
+    await eventually(t, () => harness.callersApi.activeCount() === 0);
     await eventually(t, () => harness.ring.recent(1)[0]?.outcome === 'cancelled');
     await harness.context.cancellations.settled();
     t.is(decode.held.size + prefill.held.size, 0);
@@ -157,9 +157,9 @@
   const caller = new AbortController();
   chat(harness.address, {}, { headers, signal: caller.signal }).catch(() => undefined);
   const other = chat(harness.address, {}, { headers });
-  await eventually(t, () => harness.side.activeCount() === 2);
+  await eventually(t, () => harness.callersApi.activeCount() === 2);
   caller.abort();
-  await eventually(t, () => harness.side.activeCount() === 1);
+  await eventually(t, () => harness.callersApi.activeCount() === 1);
   release();
   t.is((await other).status, 200);
 });
--- a/packages/entry/__tests__/modelRequest.test.ts
+++ b/packages/entry/__tests__/modelRequest.test.ts
@@ -155,7 +155,7 @@
 
 // A worker starts a graceful stop while the instance list still shows it as live. Each further request
 // sent to it would cost a round trip, so the first refusal removes it from the entry's view.
-test('drops a leaving worker on its first refusal and serves the request elsewhere', async (t) => {
+test('drops a leaving worker on its first refusal and serves the request on another worker', async (t) => {
   const agents = pair();
   agents[0].reserve = () => refusal('leaving');
   agents[1].bid = () => ({ ...bidOf(agents[1]), usableInMs: 50 });
--- a/packages/entry/__tests__/plainRequest.test.ts
+++ b/packages/entry/__tests__/plainRequest.test.ts
@@ -129,11 +129,13 @@
 
 test('sends a streamed body again from its start while all of it is buffered', async (t) => {
   const agents = pair();
-  const seen: string[] = [];
+  const receivedBodies: string[] = [];
   agents.forEach((agent) => {
     agent.plain = async ({ body }) => {
-      seen.push(await text(body as Readable));
-      return seen.length === 1 ? { kind: 'lost', detail: 'reset' } : plainResponse(200, 'done');
+      receivedBodies.push(await text(body as Readable));
+      return receivedBodies.length === 1
+        ? { kind: 'lost', detail: 'reset' }
+        : plainResponse(200, 'done');
     };
   });
   const { address } = await startHarness(t, { agents });
@@ -144,7 +146,7 @@
     duplex: 'half',
   });
   t.is(await response.text(), 'done');
-  t.deepEqual(seen, ['first second', 'first second']);
+  t.deepEqual(receivedBodies, ['first second', 'first second']);
 });
 
 test('does not retry once a streamed body is larger than the replay buffer', async (t) => {
@@ -188,13 +190,13 @@
 test('a caller that disconnects ends the call at the server', async (t) => {
   const [agent] = pair() as [FakeAgent];
   agent.plain = () => never();
-  const { address, side } = await startHarness(t, { agents: [agent] });
+  const { address, callersApi } = await startHarness(t, { agents: [agent] });
   const caller = new AbortController();
   fetch(`${address}/counter`, { signal: caller.signal }).catch(() => undefined);
   await eventually(t, () => agent.plainCalls.length === 1);
   caller.abort();
   await eventually(t, () => agent.plainCalls[0]?.signal.aborted ?? false);
-  await eventually(t, () => side.activeCount() === 0);
+  await eventually(t, () => callersApi.activeCount() === 0);
 });
 
 test('responds at the deadline with the known state', async (t) => {
--- a/packages/entry/__tests__/support/harness.ts
+++ b/packages/entry/__tests__/support/harness.ts
@@ -28,7 +28,7 @@
 export interface Harness {
   address: string;
   context: RequestContext;
-  side: CallersApi;
+  callersApi: CallersApi;
   ring: ReturnType<typeof createDecisionRing>;
   left: string[];
   down: string[];
@@ -121,7 +121,7 @@
     },
     timeouts: { ...defaultRequestTimeouts, ...options.timeouts },
   };
-  const side = await createCallersApi({
+  const callersApi = await createCallersApi({
     context,
     services,
     host: '127.0.0.1',
@@ -134,9 +134,9 @@
   });
   t.teardown(async () => {
     context.heartbeats.stop();
-    await side.close();
+    await callersApi.close();
   });
-  return { address: side.address, context, side, ring, left, down };
+  return { address: callersApi.address, context, callersApi, ring, left, down };
 }
 
 function createFakeInstances(agents: readonly FakeAgent[], left: string[], down: string[]) {
--- a/packages/entry/src/callersTls.ts
+++ b/packages/entry/src/callersTls.ts
@@ -34,11 +34,11 @@
   if (path === undefined) {
     return err(createFinding(setting, 'is required beside the other file'));
   }
-  const read = Result.fromThrowable(
+  const readFile = Result.fromThrowable(
     () => readFileSync(path, 'utf8'),
     (error) => createFinding(setting, `cannot be read: ${(error as Error).message}`),
   );
-  return read();
+  return readFile();
 }
 
 /** Checks that key and certificate match; otherwise every TLS handshake would fail. */
--- a/packages/entry/src/completionsApi.ts
+++ b/packages/entry/src/completionsApi.ts
@@ -51,15 +51,15 @@
     if (refuseBadHeaders(exchange)) {
       return;
     }
-    const read = await readBody(exchange.incoming, {
+    const body = await readBody(exchange.incoming, {
       maxBytes: maxBodyBytes,
       timeoutMs: slowSenderTimeoutMs,
     });
-    if (read.isErr()) {
-      refuseBody(exchange, read.error);
+    if (body.isErr()) {
+      refuseBody(exchange, body.error);
       return;
     }
-    const admitted = admit(exchange, kind, read.value, arrivedAtMs);
+    const admitted = admit(exchange, kind, body.value, arrivedAtMs);
     if (admitted !== undefined) {
       await respond(exchange, admitted);
     }
--- a/packages/entry/src/plainApi.ts
+++ b/packages/entry/src/plainApi.ts
@@ -92,8 +92,8 @@
     }
     const length = declaredLength(incoming);
     if (length !== undefined && (length <= maxReplayBytes || length > maxBytes)) {
-      const read = await readBody(incoming, { maxBytes, timeoutMs: slowSenderTimeoutMs });
-      return read.match(
+      const body = await readBody(incoming, { maxBytes, timeoutMs: slowSenderTimeoutMs });
+      return body.match(
         (bytes) => ({ kind: 'whole', bytes }),
         (error) => {
           refuseBody(exchange, error);
--- a/packages/membership/__tests__/instanceDirectory.test.ts
+++ b/packages/membership/__tests__/instanceDirectory.test.ts
@@ -108,7 +108,7 @@
 });
 
 // Two relays read the platform at different times. The older list arrives second and still has an instance that is
-// gone: applying it would send requests to a dead address until the next list.
+// removed: applying it would send requests to a dead address until the next list.
 testWithClock('an older list from a relay does not replace a younger one', async (t, clock) => {
   const { platform, directory, agentIds } = await createDirectory();
   await directory.refresh();
--- a/packages/membership/src/feedFollower.ts
+++ b/packages/membership/src/feedFollower.ts
@@ -79,7 +79,7 @@
 /** A relay whose own list is older than this cannot reach the platform. */
 const relayListMaxAgeMs = 20_000;
 
-type PollOutcome = 'news' | 'nothing' | 'failed';
+type PollOutcome = 'updates' | 'nothing' | 'failed';
 
 export function createFeedFollower(options: FeedFollowerOptions): FeedFollower {
   const settings = { ...defaults, ...options };
@@ -248,7 +248,7 @@
     if (reply.value.instanceList !== undefined) {
       directory.applyUpdate(reply.value.instanceList, listScope);
     }
-    return reply.value.records.length > 0 ? 'news' : 'nothing';
+    return reply.value.records.length > 0 ? 'updates' : 'nothing';
   }
 
   /** Relays read the platform's list themselves, and take one from another relay only while they cannot. */
--- a/packages/membership/src/feedStore.ts
+++ b/packages/membership/src/feedStore.ts
@@ -1,6 +1,6 @@
 /**
- * The versioned records that a process has seen. The highest generation of a record wins, in whatever order copies
- * arrive, so that a slow relay cannot revert a configuration.
+ * The versioned records that a process has received. The highest generation of a record wins, regardless of the
+ * order in which copies arrive, so that a slow relay cannot revert a configuration.
  */
 import type { FeedKind, FeedRecord } from '@bluebellhitch/protocol';
 import { invariant } from '@bluebellhitch/shared';
@@ -23,7 +23,7 @@
   applied: FeedRecord[];
   /** Copies that were not newer than the known record. */
   staleCount: number;
-  /** New records for which there was no room. */
+  /** New records that exceeded the limit. */
   refusedCount: number;
 }
 
--- a/packages/membership/src/instanceDirectory.ts
+++ b/packages/membership/src/instanceDirectory.ts
@@ -171,7 +171,7 @@
     return { ...known, ageMs };
   }
 
-  /** Relays read the list at different times; an older list applied last would bring back instances that are gone. */
+  /** Relays read the list at different times; an older list applied last would bring back removed instances. */
   function applyUpdate({ digest, ageMs, instances }: InstanceListUpdate, scope: ListScope): void {
     const readAtMs = monotonicNowMs() - ageMs;
     if (listedAtMs !== undefined && readAtMs <= listedAtMs) {
--- a/packages/membership/src/platformFeed.ts
+++ b/packages/membership/src/platformFeed.ts
@@ -29,7 +29,7 @@
 
   /** Applies the platform's objects, marks records that it no longer has as removed, and returns the cursor. */
   async function loadKind(kind: FeedKind): Promise<Result<string, PlatformError>> {
-    // Only records known before the call count as removed if the list lacks them: one that arrives from elsewhere
+    // Only records known before the call count as removed if the list lacks them: one that arrives from another source
     // during the call may be newer than the list.
     const knownBefore = store.list(kind).filter((record) => concernsServices(record, services));
     const listed = await platform.list(kind);
--- a/packages/objects/__tests__/claimStore.test.ts
+++ b/packages/objects/__tests__/claimStore.test.ts
@@ -208,7 +208,7 @@
 // responses before, after or long after the calls take effect. No key may be held by two attempts
 // that have not been released.
 testWithClock('no key is ever held by two attempts', async (t, clock, create) => {
-  const lostAnswers = fc.array(
+  const lostResponses = fc.array(
     fc.record({
       count: fc.integer({ min: 1, max: 3 }),
       verb: fc.constantFrom('create', 'update', 'get', 'remove'),
@@ -231,7 +231,7 @@
   const runs = { numRuns: 120, seed };
   let takenCount = 0;
   const property = fc.asyncProperty(
-    lostAnswers,
+    lostResponses,
     steps,
     fc.nat(),
     async (faults, plan, latencySeed) => {
--- a/packages/objects/src/claimStore.ts
+++ b/packages/objects/src/claimStore.ts
@@ -154,7 +154,7 @@
         return platform.update(objectKinds.claim, claim.key, object.version, value).map(() => {});
       },
       isDone: (record) => record.state === state,
-      resultIfGone: err({ kind: 'not-found' }),
+      resultIfAbsent: err({ kind: 'not-found' }),
     });
   }
 
@@ -162,7 +162,7 @@
     return changeOwn(claim, {
       write: (object) => platform.remove(objectKinds.claim, claim.key, object.version),
       isDone: () => false,
-      resultIfGone: ok(undefined),
+      resultIfAbsent: ok(undefined),
     });
   }
 
@@ -200,7 +200,7 @@
     }
     const record = parseClaimRecord(current.value?.value);
     if (record === undefined || !isSameToken(record, { ownerId, attemptId: claim.attemptId })) {
-      return { kind: 'done', result: change.resultIfGone };
+      return { kind: 'done', result: change.resultIfAbsent };
     }
     return change.isDone(record)
       ? { kind: 'done', result: ok(undefined) }
@@ -235,7 +235,7 @@
   write(object: StoredObject): ResultAsync<void, PlatformError>;
   isDone(record: ClaimRecord): boolean;
   /** Result if the claim no longer exists or belongs to another attempt. */
-  resultIfGone: Result<void, PlatformError>;
+  resultIfAbsent: Result<void, PlatformError>;
 }
 
 type ChangeStep =
--- a/packages/objects/src/dutyLease.ts
+++ b/packages/objects/src/dutyLease.ts
@@ -228,7 +228,7 @@
     }
   }
 
-  /** Drops the lease first: whatever the platform responds, this process no longer holds it. */
+  /** Drops the lease first: regardless of the response of the platform, this process no longer holds it. */
   async function release(): Promise<Result<void, DutyLeaseError>> {
     const lease = held;
     drop();
--- a/packages/objects/src/platformApi.ts
+++ b/packages/objects/src/platformApi.ts
@@ -52,7 +52,7 @@
   events: WatchEvent[];
   /** Cursor for the next call. */
   cursor: string;
-  /** The events since the given cursor are gone, or the platform was restored from a backup: list again. */
+  /** The events since the given cursor are no longer stored, or the platform was restored from a backup: list again. */
   compacted: boolean;
 }
 
--- a/packages/replay/__tests__/quotaReplay.test.ts
+++ b/packages/replay/__tests__/quotaReplay.test.ts
@@ -13,8 +13,8 @@
 const flood: QuotaStep = { kind: 'demand', atMs: 4_000, forMs: 11_000, factor: 7.5 };
 const seeds = [1, 2, 3, 4, 5];
 
-function replay(over: Partial<QuotaLoad>, way: QuotaStrategy = quotaStrategies.account) {
-  const all = seeds.map((seed) => runQuotaReplay({ load: { ...base, ...over }, way, seed }));
+function replay(over: Partial<QuotaLoad>, strategy: QuotaStrategy = quotaStrategies.account) {
+  const all = seeds.map((seed) => runQuotaReplay({ load: { ...base, ...over }, strategy, seed }));
   const sum = (read: (figures: (typeof all)[number]) => number) =>
     all.reduce((total, figures) => total + read(figures), 0);
   return {
@@ -89,7 +89,7 @@
     // A replay blocks the event loop for about a second; yield so that the runner can report each test as it ends.
     await delay(0);
     const load = randomLoad(seed);
-    const { worstWindowShare } = runQuotaReplay({ load, way: quotaStrategies.account, seed });
+    const { worstWindowShare } = runQuotaReplay({ load, strategy: quotaStrategies.account, seed });
     t.true(worstWindowShare <= 1, `${load.routers} routers: ${worstWindowShare}`);
   });
 });
--- a/packages/replay/__tests__/serverLimits.test.ts
+++ b/packages/replay/__tests__/serverLimits.test.ts
@@ -11,8 +11,8 @@
 
 const seeds = [1, 2, 3];
 
-function replay(load: QuotaLoad, way: QuotaStrategy = quotaStrategies.permits) {
-  const all = seeds.map((seed) => runQuotaReplay({ load, way, seed }));
+function replay(load: QuotaLoad, strategy: QuotaStrategy = quotaStrategies.permits) {
+  const all = seeds.map((seed) => runQuotaReplay({ load, strategy, seed }));
   const sum = (read: (figures: (typeof all)[number]) => number) =>
     all.reduce((total, figures) => total + read(figures), 0);
   return {
@@ -69,7 +69,7 @@
 test('under random loads and faults no window of four seconds exceeds the tolerated amount', async (t) => {
   for (let seed = 1; seed <= 16; seed += 1) {
     const load = randomLoad(seed);
-    const { worstWindowShare } = runQuotaReplay({ load, way: quotaStrategies.permits, seed });
+    const { worstWindowShare } = runQuotaReplay({ load, strategy: quotaStrategies.permits, seed });
     t.true(worstWindowShare <= 1, `seed ${seed}, ${load.routers} routers: ${worstWindowShare}`);
     await delay(0);
   }
--- a/packages/replay/src/quota/quotaReplay.ts
+++ b/packages/replay/src/quota/quotaReplay.ts
@@ -6,7 +6,7 @@
 
 export interface QuotaReplayOptions {
   load: QuotaLoad;
-  way: QuotaStrategy;
+  strategy: QuotaStrategy;
   seed: number;
 }
 
@@ -50,12 +50,12 @@
 const heartbeatMs = 1_000;
 const msPerSecond = 1_000;
 
-export function runQuotaReplay({ load, way, seed }: QuotaReplayOptions): QuotaFigures {
+export function runQuotaReplay({ load, strategy, seed }: QuotaReplayOptions): QuotaFigures {
   const random = createSeededRandom(seed);
   const addresses = Array.from({ length: load.routers }, (_none, n) => `r${n}`);
   const shardCount = Math.ceil(load.routers / maxRoutersPerShard);
   const shards = Array.from({ length: shardCount }, (_none, shard) =>
-    addresses.filter((_address, at) => at % shardCount === shard),
+    addresses.filter((_address, index) => index % shardCount === shard),
   );
   const shardOf = (address: string) =>
     shards[Number(address.slice(1)) % shardCount] as readonly string[];
@@ -67,7 +67,7 @@
   let dueRequests = 0;
 
   function startRouter(address: string, nowMs: number): Router {
-    const limiter = createQuotaLimiter(way, {
+    const limiter = createQuotaLimiter(strategy, {
       nowMs,
       slack: load.slack,
       routers: shardOf(address),
@@ -163,8 +163,8 @@
 
   function step(nowMs: number): void {
     faults.restartsAt(nowMs).forEach((address) => {
-      const at = addresses.indexOf(address);
-      routers[at] = startRouter(address, nowMs);
+      const routerIndex = addresses.indexOf(address);
+      routers[routerIndex] = startRouter(address, nowMs);
     });
     const runningRouters = faults.isAnyPaused(nowMs)
       ? routers.filter(({ address }) => !faults.isPaused(address, nowMs))
@@ -174,8 +174,8 @@
     // A router that resumes after a pause can handle a request before it reads its queued datagrams.
     while (dueRequests >= 1) {
       dueRequests -= 1;
-      const at = random() < load.shareAtOne ? 0 : Math.floor(random() * routers.length);
-      const router = routers[at];
+      const routerIndex = random() < load.shareAtOne ? 0 : Math.floor(random() * routers.length);
+      const router = routers[routerIndex];
       if (router !== undefined && !faults.isPaused(router.address, nowMs)) {
         handleRequest(router, nowMs);
       }
--- a/packages/replay/src/quota/quotaStrategies.ts
+++ b/packages/replay/src/quota/quotaStrategies.ts
@@ -176,7 +176,7 @@
 function createRollingWindowLimiter({ slack }: QuotaLimiterOptions): QuotaLimiter {
   /** Admissions of all routers, with the time at which this router learned of them. */
   const admissions: { atMs: number; amount: number }[] = [];
-  const peerSums = new Map<string, { life: string; sum: number }>();
+  const peerSums = new Map<string, { incarnation: string; sum: number }>();
   let limit = Infinity;
   let ownSum = 0;
   const record = (amount: number, atMs: number) => admissions.push({ atMs, amount });
@@ -200,11 +200,11 @@
     isUrgent: () => true,
     collectUses: () => [{ name: workspace, sum: ownSum }],
     isWarmingUp: () => false,
-    applyRemote({ router, life, uses }, atMs) {
+    applyRemote({ router, life: incarnation, uses }, atMs) {
       const before = peerSums.get(router);
       const sum = uses[0]?.sum ?? 0;
-      const baseSum = before?.life === life ? before.sum : 0;
-      peerSums.set(router, { life, sum });
+      const baseSum = before?.incarnation === incarnation ? before.sum : 0;
+      peerSums.set(router, { incarnation, sum });
       record(Math.max(0, sum - baseSum), atMs);
     },
   };
--- a/packages/replay/src/replayRun.ts
+++ b/packages/replay/src/replayRun.ts
@@ -141,14 +141,14 @@
         return `r${requestNumber}`;
       },
       noteRequest: (requestId) => sizes.set(requestId, size),
-      serve: (exchange) => serveAnywhere(exchange),
+      serve: (exchange) => serveAtRandomRouter(exchange),
       disconnectAfterMs: leaves ? leave?.afterMs : undefined,
       immediateRetries: repeats ? repeat?.times : undefined,
       onEnd: (end) => ends.push(end),
     });
   }
 
-  function serveAnywhere(exchange: CallerExchange): Promise<void> {
+  function serveAtRandomRouter(exchange: CallerExchange): Promise<void> {
     const router = routers[Math.floor(random() * routers.length)];
     return router?.serve(exchange) ?? Promise.resolve();
   }
--- a/packages/scenarios/__tests__/randomRuns.test.ts
+++ b/packages/scenarios/__tests__/randomRuns.test.ts
@@ -1,5 +1,5 @@
 /**
- * Random scripts with fixed seeds. Whatever fails, in whatever order: each request gets exactly one final
+ * Random scripts with fixed seeds. Under all faults, in any order, each request gets exactly one final
  * response, with its own text, marked keys run at most once, "not run" is true, and no memory stays held.
  * `npm run random-scripts` runs many more.
  */
--- a/packages/scenarios/src/language/expectations.ts
+++ b/packages/scenarios/src/language/expectations.ts
@@ -20,7 +20,7 @@
 };
 
 const comparisons: Comparisons = {
-  answer: (world, expected) => checkAnswer(find(world.requests, expected.of), expected),
+  answer: (world, expected) => checkResponse(find(world.requests, expected.of), expected),
   runs: checkRuns,
   held: checkHeld,
   generation: checkGeneration,
@@ -60,7 +60,7 @@
   return is === expected ? [] : [`${what}: ${String(is)}, not ${String(expected)}`];
 }
 
-function checkAnswer(sent: SentRequest, expected: ExpectationInput<'answer'>): string[] {
+function checkResponse(sent: SentRequest, expected: ExpectationInput<'answer'>): string[] {
   const { outcome, name, tokenCount } = sent;
   const kind = outcome?.kind ?? 'pending';
   const allowed = expected.is === 'whole-or-refused' ? ['whole', 'refused'] : [expected.is];
--- a/packages/scenarios/src/language/scenarioSchema.ts
+++ b/packages/scenarios/src/language/scenarioSchema.ts
@@ -47,7 +47,7 @@
   count: count.default(1),
 });
 
-const expectedAnswer = z.strictObject({
+const expectedResponse = z.strictObject({
   of: name,
   is: z.enum(['whole', 'refused', 'broken', 'left', 'pending', 'whole-or-refused']),
   reason: name.optional(),
@@ -60,7 +60,7 @@
 
 /** Expectations of an `expect` step, by name. */
 export const expectationSchemas = {
-  answer: expectedAnswer,
+  answer: expectedResponse,
   runs: z.strictObject({
     key: name.optional(),
     request: name.optional(),
--- a/packages/scenarios/src/world/agentLink.ts
+++ b/packages/scenarios/src/world/agentLink.ts
@@ -205,7 +205,7 @@
       if (disconnects) {
         end();
       }
-      return queue.size() < maxUnreadFrames ? undefined : queue.whenRoom();
+      return queue.size() < maxUnreadFrames ? undefined : queue.whenChanged();
     };
     void process.run(() => agent.runStream(request, sink, connection)).then(end);
 
--- a/packages/scenarios/src/world/frameFaults.ts
+++ b/packages/scenarios/src/world/frameFaults.ts
@@ -64,12 +64,12 @@
     }
   }
 
-  let seenCount = 0;
+  let frameCount = 0;
   return (frame) => {
     const fault = readFault();
     const isAffected =
-      fault !== undefined && seenCount >= fault.after && seenCount < fault.after + fault.count;
-    seenCount += 1;
+      fault !== undefined && frameCount >= fault.after && frameCount < fault.after + fault.count;
+    frameCount += 1;
     const outcome = isAffected ? applyFault(fault.kind, frame) : release(frame);
     passed.push(frame);
     return outcome;
--- a/packages/scenarios/src/world/frameQueue.ts
+++ b/packages/scenarios/src/world/frameQueue.ts
@@ -7,7 +7,7 @@
   end(): void;
   size(): number;
   /** Resolves at the next change of the queue, such as a frame being read. */
-  whenRoom(): Promise<void>;
+  whenChanged(): Promise<void>;
 }
 
 export interface FrameQueueOptions {
@@ -70,7 +70,7 @@
       wakeAll();
     },
     size: () => frames.length,
-    whenRoom: whenChanged,
+    whenChanged,
     [Symbol.asyncIterator]: read,
   };
 }
--- a/packages/scenarios/src/world/invariants.ts
+++ b/packages/scenarios/src/world/invariants.ts
@@ -1,5 +1,5 @@
 /**
- * Invariants that must hold in every world, whatever fails. The checks read the engines' own statistics
+ * Invariants that must hold in every world under all faults. The checks read the engines' own statistics
  * rather than the system's view of them.
  */
 import { expectedOutput, type StandinEngine } from '@bluebellhitch/standins';
--- a/packages/scenarios/src/world/safeguards.ts
+++ b/packages/scenarios/src/world/safeguards.ts
@@ -8,7 +8,7 @@
 import type { StreamTampering } from './agentLink';
 
 export const safeguards = [
-  /** Leases expire without heartbeats. Disabled: the world also renews the leases of entries that are gone. */
+  /** Leases expire without heartbeats. Disabled: the world also renews the leases of entries that have exited. */
   'lease-expiry',
   /** A closed connection ends its work. Disabled: agents do not learn that a connection closed. */
   'connection-close',
--- a/packages/scenarios/src/world/world.ts
+++ b/packages/scenarios/src/world/world.ts
@@ -163,11 +163,11 @@
 
   /** Advances time until a call that the world itself makes has settled. */
   async function advanceUntilSettled<Value>(call: PromiseLike<Value>): Promise<Value> {
-    let isAnswered = false;
+    let hasSettled = false;
     const result = Promise.resolve(call).finally(() => {
-      isAnswered = true;
+      hasSettled = true;
     });
-    while (!isAnswered) {
+    while (!hasSettled) {
       await time.advance(1);
     }
     return result;
--- a/packages/scenarios/src/world/worldMembership.ts
+++ b/packages/scenarios/src/world/worldMembership.ts
@@ -64,7 +64,7 @@
       : { services: [service], platformPauseMs: agentPlatformPauseMs }),
     callFeed: callThroughNetwork(options),
   });
-  // Without the generation check a process accepts whatever record arrives last.
+  // Without the generation check a process accepts any record that arrives last.
   const skipsGenerationCheck = isDisabled('generation-check');
   store.subscribe((applied) => applied.filter(isNotRemoved).forEach(onRecord));
   directory.start();
--- a/packages/soak/src/fleetChecks.ts
+++ b/packages/soak/src/fleetChecks.ts
@@ -91,7 +91,7 @@
 export function createConfigurationCheck(options: FleetChecksOptions): BackgroundLoop {
   const { routers, plan, callers, findings, disruptions, applyMs, marginMs } = options;
   /** By router and incarnation: the newest move that its responses have shown, and when. */
-  const seen = new Map<string, { index: number; atMs: number }>();
+  const newestShown = new Map<string, { index: number; atMs: number }>();
 
   const activeSinceMs = (acknowledgedAtMs: number) => acknowledgedAtMs + applyMs + marginMs;
 
@@ -99,14 +99,14 @@
     callers.probe(router, probeRoute(pathPrefix), `${pathPrefix}1`);
 
   /** Records the move that a router's response shows. */
-  function noteSeen(router: RouterProcessHandle, request: SentRequest, index: number): void {
+  function noteShown(router: RouterProcessHandle, request: SentRequest, index: number): void {
     const key = `${router.name}/${router.incarnation()}`;
-    const known = seen.get(key);
+    const known = newestShown.get(key);
     if (known !== undefined && index < known.index && request.sentAtMs > known.atMs + overtakeMs) {
       findings.add(promises.configuration, `${router.name} went back to an older one`, request.id);
     }
     if (known === undefined || index > known.index) {
-      seen.set(key, { index, atMs: monotonicNowMs() });
+      newestShown.set(key, { index, atMs: monotonicNowMs() });
     }
   }
 
@@ -119,7 +119,7 @@
       return;
     }
     const index = moves.findLastIndex(({ serviceName }) => serviceName === arrival.serviceName);
-    noteSeen(router, request, index);
+    noteShown(router, request, index);
     const { acknowledgedAtMs } = newest;
     const isDue = request.sentAtMs > activeSinceMs(acknowledgedAtMs);
     const hadContact = disruptions.hadContact(router.name, acknowledgedAtMs, request.sentAtMs);
--- a/packages/soak/src/limitChecks.ts
+++ b/packages/soak/src/limitChecks.ts
@@ -61,7 +61,11 @@
     const maxRequests = (toleratedFactor * limit.requestsPerSecond * windowMs) / msPerSecond;
     const maxInWindow = Math.max(
       0,
-      ...times.map((endMs) => times.filter((at) => at <= endMs && at > endMs - windowMs).length),
+      ...times.map(
+        (endMs) =>
+          times.filter((arrivedAtMs) => arrivedAtMs <= endMs && arrivedAtMs > endMs - windowMs)
+            .length,
+      ),
     );
     if (maxInWindow > maxRequests + toleratedRequests) {
       const notice = `${limit.serverId} had named ${limit.requestsPerSecond} requests a second`;
--- a/packages/soak/src/operator.ts
+++ b/packages/soak/src/operator.ts
@@ -34,8 +34,8 @@
 }
 
 /**
- * Until Node.js has loaded a program's first module, any signal ends the process, whatever the program does. That takes
- * 0.1 s on an idle machine and more than 0.8 s on a busy one; a program that takes longer than this is faulty.
+ * Until Node.js has loaded a program's first module, any signal ends the process, regardless of its handlers. That
+ * takes 0.1 s on an idle machine and more than 0.8 s on a busy one; a program that takes longer than this is faulty.
  */
 const reloadHandlerTimeoutMs = 5_000;
 const signalPollMs = 20;
--- a/packages/standins/__tests__/platformHttp.test.ts
+++ b/packages/standins/__tests__/platformHttp.test.ts
@@ -55,14 +55,14 @@
   control.loseResponses({ count: 1, verb: 'create', effect: 'applied' });
   t.is((await client.create('claim', 'k', {}))._unsafeUnwrapErr().kind, 'unknown-outcome');
   t.true((await client.get('claim', 'k')).isOk());
-  const impatientClient = createHttpPlatformClient({ address, timeoutMs: 300 });
+  const shortTimeoutClient = createHttpPlatformClient({ address, timeoutMs: 300 });
   control.setSlow(10_000);
   t.is(
-    (await impatientClient.create('claim', 'slow', {}))._unsafeUnwrapErr().kind,
+    (await shortTimeoutClient.create('claim', 'slow', {}))._unsafeUnwrapErr().kind,
     'unknown-outcome',
   );
-  t.is((await impatientClient.get('claim', 'k'))._unsafeUnwrapErr().kind, 'unavailable');
-  await impatientClient.close();
+  t.is((await shortTimeoutClient.get('claim', 'k'))._unsafeUnwrapErr().kind, 'unavailable');
+  await shortTimeoutClient.close();
   control.clearFaults();
   control.setOutage(true);
   t.is((await client.create('claim', 'out', {}))._unsafeUnwrapErr().kind, 'unavailable');
--- a/packages/standins/__tests__/standinEngine.test.ts
+++ b/packages/standins/__tests__/standinEngine.test.ts
@@ -246,10 +246,10 @@
   await clock.tickAsync(400);
   source.control({ stallTransfers: true });
   await clock.tickAsync(200);
-  const seen = progress.length;
+  const countBefore = progress.length;
   await clock.tickAsync(5000);
-  t.true(seen > 0);
-  t.is(progress.length, seen);
+  t.true(countBefore > 0);
+  t.is(progress.length, countBefore);
   t.true(source.stats().heldKvBytes > 0);
   controller.abort();
   t.true((await imported).isErr());
@@ -268,13 +268,13 @@
       crashes += 1;
     },
   });
-  const innocent = await decode(engine, 'a');
+  const concurrent = await decode(engine, 'a');
   await t.context.clock.tickAsync(300);
   const poisoned = engine.prefill(prefillInput('b', 'a [poison] prompt'));
   await t.context.clock.tickAsync(100);
   t.is((await poisoned)._unsafeUnwrapErr().kind, 'died');
-  t.true(innocent.ended);
-  t.true(innocent.chunks.every(({ kind }) => kind === 'token'));
+  t.true(concurrent.ended);
+  t.true(concurrent.chunks.every(({ kind }) => kind === 'token'));
   t.is((await engine.cancel('a'))._unsafeUnwrapErr().kind, 'not-started');
   t.is(crashes, 1);
   t.is(engine.stats().runs.filter(({ attemptId }) => attemptId === 'b').length, 1);
--- a/packages/standins/src/engine/engineOrders.ts
+++ b/packages/standins/src/engine/engineOrders.ts
@@ -42,11 +42,11 @@
     if (versions.get(model) === version) {
       return ok(undefined);
     }
-    const read = await settings.readWeights?.(model, version);
-    if (read?.isErr() === true) {
-      return err(read.error);
+    const weights = await settings.readWeights?.(model, version);
+    if (weights?.isErr() === true) {
+      return err(weights.error);
     }
-    if (read === undefined) {
+    if (weights === undefined) {
       await delay(settings.modelLoadMs);
     }
     versions.set(model, version);
--- a/packages/standins/src/engine/loadHistory.ts
+++ b/packages/standins/src/engine/loadHistory.ts
@@ -16,8 +16,8 @@
   let samples = [{ atMs: monotonicNowMs(), load: current() }];
 
   function prune(nowMs: number): void {
-    const newestOld = samples.findLastIndex(({ atMs }) => nowMs - atMs >= lagMs);
-    samples = samples.slice(Math.max(newestOld, 0));
+    const newestLaggedIndex = samples.findLastIndex(({ atMs }) => nowMs - atMs >= lagMs);
+    samples = samples.slice(Math.max(newestLaggedIndex, 0));
   }
 
   return {
